--- a/arrowrail/core/engine.py
+++ b/arrowrail/core/engine.py
@@ -37,8 +37,7 @@
 from arrowrail.state.slots import SlotTable
 from arrowrail.telemetry.events import call_event, event, some_ids
 from arrowrail.telemetry.metrics import Metrics
-from trackhatch import Controller
-from trackhatch import interface as i
+from trackhatch import Controller, interface
 
 PAUSED_AFTER = ("no_answer", "connection_lost", "called_off")
 OVERDUE_NS = 10 * MS  # past the deadline: inside the slack of every known site, and time for the module
@@ -47,7 +46,7 @@
 
 
 class Core:
-    def __init__(self, settings: i.Settings, seed: int, deadlines: Deadlines) -> None:
+    def __init__(self, settings: interface.Settings, seed: int, deadlines: Deadlines) -> None:
         self.settings = settings
         self.module = Controller(settings, seed)
         self.deadlines = deadlines
@@ -57,7 +56,7 @@
         self.ended: dict[str, int] = {}  # calls that are over, oldest first, until when they are remembered
         self.backs: dict[str, Back] = {}
         self.fronts: list[Front] = []
-        self.events: list[i.Event] = []
+        self.events: list[interface.Event] = []
         self.listed = False
         self.admission: AdmissionController | None = None
         self.turned_away: list[tuple[Request, Answer]] = []  # by admission, to be answered this turn
@@ -101,7 +100,7 @@
             request.let_in = True
         request.timer = self.deadlines.at(offer.deadline_ns, lambda: self._deadline(handle))
         self.events.append(
-            i.CallOffered(
+            interface.CallOffered(
                 offer.call, offer.route or offer.class_name, "", offer.destination, offer.key, offer.width,
                 offer.deadline_ns, 0, offer.in_transit, offer.redialled, offer.came_back, offer.via,
             )
@@ -113,7 +112,7 @@
         return (
             self.admission.carries(class_name)
             if self.admission is not None
-            else class_name in self.module.kinds
+            else class_name in self.module.call_classes
         )
 
     def find(self, call: str) -> Request | None:
@@ -124,7 +123,7 @@
         request = self.find(call)
         if request is None or request.stands:
             return False
-        self.events.append(i.CallerGone(call))
+        self.events.append(interface.CallerGone(call))
         self.metrics.count("request.caller_gone")
         call_event("request.caller_gone", call, "its caller no longer waits")
         attempt = request.out
@@ -173,7 +172,9 @@
         self.metrics.count("request.stands")
         call_event("request.stands", call, "stands at {server} after attempt {attempt}",
                    server=desk.told.uid, attempt=attempt.number)  # fmt: skip
-        self.events.append(i.CallStands(call, desk.office, attempt.number, self.now - attempt.sent_ns))
+        self.events.append(
+            interface.CallEstablished(call, desk.office, attempt.number, self.now - attempt.sent_ns)
+        )
         request.front.answer(request, Answer(STANDS, description))
 
     def desk_released(self, desk: Endpoint, call: str, ended: Ended, cause: int) -> None:
@@ -255,7 +256,9 @@
         return request.out.sent_ns if request is not None and request.out is not None else 0
 
     def group_state(self, desk: Endpoint, free: float, size: float) -> None:
-        self.events.append(i.GroupReport(desk.office, "served", 0, i.Report(free, size, ())))
+        self.events.append(
+            interface.TrunkGroupReport(desk.office, "served", 0, interface.LoadReport(free, size, ()))
+        )
 
     def list_news(self, source: str, whole: bool, lines: Iterable[EndpointEntry]) -> None:
         """News of the exchange list, whichever source tells it."""
@@ -270,10 +273,10 @@
             event("server.listed", "{source} says that {server} at {endpoint} is {state}", source=source,
                   server=desk.told.uid, endpoint=desk.told.endpoint, state=desk.told.state)  # fmt: skip
         entries = tuple(
-            i.ListEntry(d.office, d.told.zone, d.told.exchange, d.told.state, d.told.since_ns)
+            interface.ListEntry(d.office, d.told.zone, d.told.exchange, d.told.state, d.told.since_ns)
             for d in changed
         )
-        self.events.append(i.ExchangeList("update" if self.listed else "restored", entries))
+        self.events.append(interface.ExchangeListUpdate("update" if self.listed else "restored", entries))
         self.listed = True
         if self.admission is not None:
             self.events += self.admission.told(changed)
@@ -301,7 +304,7 @@
         open_ = [request for request in self.requests if not request.stands]
         for request in open_:
             call = request.offer.call
-            self.events.append(i.CallerGone(call))
+            self.events.append(interface.CallerGone(call))
             self._answer(call, FAILED if request.attempts else REFUSED, 0)
         if open_:
             event("shutdown.cut_off", "{requests} requests are answered before the kill: {ids}",
@@ -342,23 +345,25 @@
                 self._forget(request)
                 request.front.answer(request, answer)
 
-    def _carry_out(self, action: i.Action) -> None:
+    def _carry_out(self, action: interface.Action) -> None:
         match action:
-            case i.SetUp(call, office, time_out):
+            case interface.SendSetUp(call, office, time_out):
                 self._set_up(call, office, time_out)
-            case i.Refuse(call, stay_away):
+            case interface.RefuseCall(call, stay_away):
                 self._answer(call, REFUSED, stay_away)
-            case i.GiveUp(call):
+            case interface.FailCall(call):
                 # What the attempt held may stay taken for the release pause: no sooner is another try of use.
-                self._answer(call, FAILED, self.settings.release_ns if self.settings.may_advise_wait else 0)
-            case i.SetTimer(in_ns, mark):
-                self.deadlines.at(self.now + in_ns, lambda: self.events.append(i.TimerDue(mark)))
-            case i.CancelSetUp(call, number):
+                self._answer(
+                    call, FAILED, self.settings.release_ns if self.settings.may_send_retry_after else 0
+                )
+            case interface.SetTimer(in_ns, mark):
+                self.deadlines.at(self.now + in_ns, lambda: self.events.append(interface.TimerExpired(mark)))
+            case interface.CancelSetUp(call, number):
                 request = self.find(call)
                 attempt = request.out if request is not None and not request.stands else None
                 if request is not None and attempt is not None and attempt.number == number:
                     self._give_up(request, attempt, "called_off")
-            case i.FollowList():
+            case interface.WatchExchangeList():
                 pass  # the list is followed from the start
             case _:
                 logger.debug("no use for {}", action)
@@ -373,7 +378,9 @@
             number = request.attempts if request is not None else 0
             if request is not None:
                 request.attempts += 1
-            self.events.append(i.AttemptEnded(call, office, number, "not_sent", 0, request is None, 0, None))
+            self.events.append(
+                interface.AttemptEnded(call, office, number, "not_sent", 0, request is None, 0, None)
+            )
             return
         if self.admission is not None:
             time_out = time_out or self.admission.time_out_ns(request.offer)
@@ -409,7 +416,7 @@
             return
         self.defects += 1
         logger.error("call {} was still unanswered past its deadline", request.offer.call)
-        self.events.append(i.CallerGone(request.offer.call))
+        self.events.append(interface.CallerGone(request.offer.call))
         self._answer(request.offer.call, FAILED, 0)
 
     def _timed_out(self, handle: int, attempt: Attempt) -> None:
@@ -452,7 +459,7 @@
         if self.admission is not None:
             self.events += self.admission.attempt_over(self.now, attempt.desk, outcome, cause)
         self.events.append(
-            i.AttemptEnded(
+            interface.AttemptEnded(
                 request.offer.call, attempt.desk.office, attempt.number, outcome,
                 self.now - attempt.sent_ns, call_over, cause, None,
             )
--- a/arrowrail/core/requests.py
+++ b/arrowrail/core/requests.py
@@ -8,12 +8,13 @@
 
 from arrowrail.state.deadlines import Deadline
 from arrowrail.state.endpoints import Endpoint, EndpointEntry
-from trackhatch import interface as i
+from trackhatch import interface
 
 MS = 1_000_000
 STANDS, REFUSED, FAILED = "stands", "refused", "failed"
 Q850_NORMAL, Q850_CUT = 16, 41
-LINK_BROKE = i.LINK_BROKE  # a cause: the connection failed, which says nothing of the processor
+# Cause code: the connection to the endpoint failed, which says nothing about its processor.
+CAUSE_CONNECTION_FAILED = interface.CAUSE_CONNECTION_FAILED
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,5 +128,7 @@
     ) -> tuple[str, bool, list[EndpointEntry]]:
         """News of the list as it takes effect here."""
 
-    def told(self, desks: Iterable[Endpoint]) -> list[i.PoolNews]: ...
-    def attempt_over(self, now: int, desk: Endpoint, outcome: str, cause: int) -> list[i.PoolNews]: ...
+    def told(self, desks: Iterable[Endpoint]) -> list[interface.PoolUpdate]: ...
+    def attempt_over(
+        self, now: int, desk: Endpoint, outcome: str, cause: int
+    ) -> list[interface.PoolUpdate]: ...
--- a/arrowrail/lab/soak/variants.py
+++ b/arrowrail/lab/soak/variants.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-import trackhatch.choice
+import trackhatch.controller
 from arrowrail.core import engine
 from arrowrail.core.requests import STANDS, Answer, Request
 from arrowrail.failure_detection.endpoint import EndpointMonitor
@@ -33,7 +33,7 @@
 def _without_pause() -> None:
     """No pause after an attempt that timed out, broke or was cancelled."""
     engine.PAUSED_AFTER = ()  # type: ignore[assignment]
-    trackhatch.choice.AWAIT_RELEASE = ()  # type: ignore[assignment]
+    trackhatch.controller.RELEASE_AWAITED_OUTCOMES = ()  # type: ignore[assignment]
 
 
 def _without_release() -> None:
--- a/arrowrail/sidecar/admission.py
+++ b/arrowrail/sidecar/admission.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
-from arrowrail.core.requests import LINK_BROKE, NO_ROUTE, OVER_LIMIT, REFUSED, Answer, Offer
+from arrowrail.core.requests import CAUSE_CONNECTION_FAILED, NO_ROUTE, OVER_LIMIT, REFUSED, Answer, Offer
 from arrowrail.limits.limiter import Limiter
 from arrowrail.pools.book import Allowed, Book
 from arrowrail.sidecar.compile import Compiled
 from arrowrail.sidecar.listing import SOURCE, Listing
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, Endpoint, EndpointEntry
-from trackhatch import interface as i
+from trackhatch import interface
 
 NO_NEWS = ("not_sent", "no_answer", "called_off")  # outcomes that prove nothing of the way to an exchange
 BY_USE = (IN_SERVICE, TERMINATING, TERMINATED)  # of several machines of an exchange, the first counts
@@ -29,7 +29,7 @@
         self._proved: dict[int, int] = {}  # by exchange: when a call of ours last got an answer there
         self._offices: dict[int, dict[int, str]] = {}  # by exchange: the state of each machine there
 
-    def use(self, compiled: Compiled, now: int) -> tuple[list[EndpointEntry], list[i.PoolNews]]:
+    def use(self, compiled: Compiled, now: int) -> tuple[list[EndpointEntry], list[interface.PoolUpdate]]:
         """A reload: what is open goes on under what it began with; the news is for what comes."""
         self.compiled = compiled
         self.limiter.use(compiled.limits, now)
@@ -71,7 +71,7 @@
             return SOURCE, False, list(lines)
         return SOURCE, False, self.listing.heard(whole, lines)
 
-    def told(self, desks: Iterable[Endpoint]) -> list[i.PoolNews]:
+    def told(self, desks: Iterable[Endpoint]) -> list[interface.PoolUpdate]:
         """An exchange is in use while any machine of it is in service: the old one may drain beside it."""
         changed = set()
         for desk in desks:
@@ -86,27 +86,27 @@
             states.append((exchange, next(s for s in BY_USE if s in known)))
         return _news(self.book.told(states))
 
-    def attempt_over(self, now: int, desk: Endpoint, outcome: str, cause: int) -> list[i.PoolNews]:
+    def attempt_over(self, now: int, desk: Endpoint, outcome: str, cause: int) -> list[interface.PoolUpdate]:
         if outcome == "no_connection":
             return _news(self.book.missed(now, desk.told.exchange))
-        if outcome in NO_NEWS or cause == LINK_BROKE:
+        if outcome in NO_NEWS or cause == CAUSE_CONNECTION_FAILED:
             return []
         self._proved[desk.told.exchange] = now
         return _news(self.book.heard(desk.told.exchange))
 
-    def doubted(self, now: int, exchanges: Iterable[int]) -> list[i.PoolNews]:
+    def doubted(self, now: int, exchanges: Iterable[int]) -> list[interface.PoolUpdate]:
         """Exchanges that others' probes found silent; where our own calls are answered, those know better."""
         lately = now - PROOF_NS
         return _news(self.book.doubted(e for e in exchanges if self._proved.get(e, 0) < lately))
 
     # --- Now and then -----------------------------------------------------------------------------------
 
-    def due(self, now: int) -> list[i.PoolNews]:
+    def due(self, now: int) -> list[interface.PoolUpdate]:
         return _news(self.book.due(now))
 
     def _count(self, reason: str) -> None:
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
 
-def _news(changed: Mapping[str, Allowed]) -> list[i.PoolNews]:
-    return [i.PoolNews(route, allowed.exchanges) for route, allowed in changed.items()]
+def _news(changed: Mapping[str, Allowed]) -> list[interface.PoolUpdate]:
+    return [interface.PoolUpdate(route, allowed.exchanges) for route, allowed in changed.items()]
--- a/arrowrail/sidecar/compile.py
+++ b/arrowrail/sidecar/compile.py
@@ -15,7 +15,7 @@
 from arrowrail.pools import plan as pools
 from arrowrail.pools.plan import fallback_order, route_name
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING
-from trackhatch import interface as i
+from trackhatch import interface
 
 STATES = {"in_service": IN_SERVICE, "draining": TERMINATING, "gone": TERMINATED}
 REPEAT_WINDOW_NS = 5_000_000_000  # of no effect where repeats are free
@@ -69,7 +69,7 @@
 class Compiled:
     application: str
     site: str
-    settings: i.Settings
+    settings: interface.Settings
     limits: limits.Plan
     pools: pools.Plan
     classes: Mapping[str, ClassFacts]
@@ -166,7 +166,7 @@
     )  # fmt: skip
 
 
-def _settings(a: Application, v: Inventory, plan: pools.Plan) -> i.Settings:
+def _settings(a: Application, v: Inventory, plan: pools.Plan) -> interface.Settings:
     """The decision module sees each class in each district as a class of its own: they have other pools."""
     site = v.site
     assert site is not None
@@ -174,18 +174,18 @@
     for route in plan.routes.values():
         c = v.classes[route.class_name]
         kinds.append(
-            i.CallClass(
+            interface.CallClass(
                 route.name, float(c.worth), float(c.late), c.wanted, 0.0, c.give_up, c.holding, c.width,
                 "free", "all", REPEAT_WINDOW_NS,
             )
         )  # fmt: skip
-    return i.Settings(
+    return interface.Settings(
         classes=tuple(kinds), tenants=(), over_share_worth=1.0, layout="groups", own_exchange=-1, own_zone="",
         pools_by_class=tuple((-1,) for _ in kinds),  # none, until the book of pools has spoken
-        controllers=site.controllers, rank=0, discovery="push", must_ask_in_ns=0,
+        controllers=site.controllers, rank=0, discovery="push", list_query_deadline_ns=0,
         release_ns=site.release_pause, resend_ns=site.resend, drain_grace_ns=site.drain_grace,
         start_capacity=float(site.start_capacity), cold_ns=site.cold, fall_multiple=float(site.fall_multiple),
-        fall_ns=site.fall_window, max_attempts=a.attempts, may_probe=False, may_tell=False, may_cancel=True,
-        may_advise_wait=site.stay_away > 0, max_wait_advice_ns=site.stay_away, centre_advice=False,
-        redials_marked=a.redials_marked, report_fields=("spare", "total"),
+        fall_ns=site.fall_window, max_attempts=a.attempts, may_probe=False, may_message_peers=False,
+        may_cancel=True, may_send_retry_after=site.stay_away > 0, max_retry_after_ns=site.stay_away,
+        central_advice=False, redials_marked=a.redials_marked, report_fields=("spare", "total"),
     )  # fmt: skip
--- a/arrowrail/sidecar/main.py
+++ b/arrowrail/sidecar/main.py
@@ -139,7 +139,7 @@
         if self._m3ua is None and any(line.signalling == "m3ua" for line in new.lines):
             event("reload.restart", "exchanges with m3ua are reached from the next start on",
                   level="WARNING")  # fmt: skip
-        unheard = [r for r in new.pools.routes if r not in self.core.module.kinds]
+        unheard = [r for r in new.pools.routes if r not in self.core.module.call_classes]
         if unheard:
             event("reload.worth", "{routes} count as of least worth until the next start", level="WARNING",
                   routes=unheard[:20])  # fmt: skip
--- a/arrowrail/wire/desk/pool.py
+++ b/arrowrail/wire/desk/pool.py
@@ -5,7 +5,7 @@
 import errno
 from typing import TYPE_CHECKING
 
-from arrowrail.core.requests import LINK_BROKE, MS, Q850_NORMAL
+from arrowrail.core.requests import CAUSE_CONNECTION_FAILED, MS, Q850_NORMAL
 from arrowrail.failure_detection.endpoint import EndpointMonitor
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATING, Endpoint
 from arrowrail.wire.desk import binary
@@ -77,7 +77,7 @@
             self.release(call, Q850_NORMAL)
         outcome = "no_connection" if unsent else "connection_lost"
         # That a connection broke says nothing of the processor behind it; that none comes up does.
-        self.back.core.attempt_failed(self.desk, call, outcome, 0 if never_up else LINK_BROKE)
+        self.back.core.attempt_failed(self.desk, call, outcome, 0 if never_up else CAUSE_CONNECTION_FAILED)
 
     @property
     def in_use(self) -> bool:
--- a/arrowrail/wire/m3ua/back.py
+++ b/arrowrail/wire/m3ua/back.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from arrowrail.core.engine import Core
-from arrowrail.core.requests import LINK_BROKE, MS, Q850_CUT, Offer
+from arrowrail.core.requests import CAUSE_CONNECTION_FAILED, MS, Q850_CUT, Offer
 from arrowrail.failure_detection.endpoint import EndpointMonitor
 from arrowrail.loop import Loop
 from arrowrail.state.address import DIGITS
@@ -102,7 +102,9 @@
             else:
                 use.clearing = True  # its circuits stay taken until the peer is back and confirms
             outcome = "no_connection" if never_left else "connection_lost"
-            self.back.core.attempt_failed(self.desk, use.call, outcome, 0 if never_up else LINK_BROKE)
+            self.back.core.attempt_failed(
+                self.desk, use.call, outcome, 0 if never_up else CAUSE_CONNECTION_FAILED
+            )
         if self.desk.told.state == TERMINATED:
             return
         logger.debug("association with {} lost: {}", self.desk.told.uid, why)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,7 +11,7 @@
 from arrowrail.state.deadlines import Deadlines
 from arrowrail.state.endpoints import Endpoint, EndpointEntry
 from tests.live import settings
-from trackhatch import interface as i
+from trackhatch import interface
 from trackhatch.simhost import read_settings
 
 CALL = "00000000000000a1"
@@ -21,11 +21,11 @@
     """In the module's place: hands out the actions put into it, and keeps the events."""
 
     def __init__(self) -> None:
-        self.next: list[i.Action] = []
-        self.seen: list[i.Event] = []
+        self.next: list[interface.Action] = []
+        self.seen: list[interface.Event] = []
         self.broken = False
 
-    def step(self, _now: int, events: list[i.Event]) -> list[i.Action]:
+    def step(self, _now: int, events: list[interface.Event]) -> list[interface.Action]:
         if self.broken:
             raise RuntimeError("a fault in the module")
         self.seen += events
@@ -75,27 +75,27 @@
         self.out.said.clear()
         self.core.offer(self.out, 0, Offer(CALL, "check", "ab", 0xAB, 1, 1, 9_000 * MS, b"", **offer))
 
-    def act(self, *actions: i.Action, at_ms: int = 0) -> list[tuple[Any, ...]]:
+    def act(self, *actions: interface.Action, at_ms: int = 0) -> list[tuple[Any, ...]]:
         """Run a turn in which the module answers with these; returns what the core said in it."""
         if at_ms:
             self.core.deadlines.now = at_ms * MS
             self.core.deadlines.run_due()
         self.module.next = list(actions)
-        self.core.events.append(i.TimerDue("turn"))
+        self.core.events.append(interface.TimerExpired("turn"))
         self.core.turn()
         said, self.out.said = self.out.said, []
         return said
 
     def ended(self) -> list[tuple[str, bool]]:
         """Outcomes that the module would be told next, and whether the call was over."""
-        return [(e.outcome, e.call_over) for e in self.core.events if isinstance(e, i.AttemptEnded)]
+        return [(e.outcome, e.call_ended) for e in self.core.events if isinstance(e, interface.AttemptEnded)]
 
     def lose(self, office: int, outcome: str) -> None:
         self.core.attempt_failed(self.core.registry.endpoints[office], CALL, outcome)
 
 
-def to(office: int, time_out_ms: int = 0) -> i.SetUp:
-    return i.SetUp(CALL, office, time_out_ms * MS)
+def to(office: int, time_out_ms: int = 0) -> interface.SendSetUp:
+    return interface.SendSetUp(CALL, office, time_out_ms * MS)
 
 
 def test_two_at_once_are_never_out() -> None:
@@ -150,7 +150,10 @@
 def test_one_final_answer_whatever_the_module_says_twice() -> None:
     bench = Bench()
     bench.act(to(1))
-    assert bench.act(i.Refuse(CALL, 0), i.GiveUp(CALL), to(2)) == [("give_up", 1), ("answer", "refused")]
+    assert bench.act(interface.RefuseCall(CALL, 0), interface.FailCall(CALL), to(2)) == [
+        ("give_up", 1),
+        ("answer", "refused"),
+    ]
     assert bench.core.unanswered == 0 and not bench.core.requests
     desk = bench.core.registry.endpoints[1]
     bench.core.desk_answered(desk, CALL, b"late")  # released, not passed on
@@ -164,7 +167,7 @@
     assert bench.act(at_ms=150) == [("give_up", 1)]
     assert ("no_answer", False) in bench.ended() or bench.module.seen
     bench.act(to(2), at_ms=1000)
-    assert bench.act(i.GiveUp(CALL), at_ms=9_001) == [("give_up", 2), ("answer", "failed")]
+    assert bench.act(interface.FailCall(CALL), at_ms=9_001) == [("give_up", 2), ("answer", "failed")]
 
 
 def test_a_module_that_fails_or_forgets_leaves_no_call_without_an_answer() -> None:
@@ -184,7 +187,10 @@
         raise RuntimeError("a fault in the back")
 
     monkeypatch.setattr(bench.out, "set_up", fails)
-    assert bench.act(to(1), i.Refuse(other, 0)) == [("answer", "refused")] and bench.core.defects == 1
+    assert (
+        bench.act(to(1), interface.RefuseCall(other, 0)) == [("answer", "refused")]
+        and bench.core.defects == 1
+    )
     bench.act(at_ms=9_001)
     assert ("answer", "failed") in bench.act(at_ms=9_012) and not bench.core.requests
 
--- a/tests/test_live_etcd.py
+++ b/tests/test_live_etcd.py
@@ -68,7 +68,7 @@
         gateway.accept()
         assert gateway.answer_range(7, here) == 8
         peer, caller = desk.desk(), Caller(run.port)
-        run.until(lambda: 1 in run.core.module.groups and run.core.module.groups[1].size > 0)
+        run.until(lambda: 1 in run.core.module.trunk_groups and run.core.module.trunk_groups[1].size > 0)
         caller.invite(CALL)
         set_up(peer, CALL)
         tell(peer, binary.ANSWER, CALL)
--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -96,7 +96,7 @@
     with running(*(target(f"d{n}", a, n) for n, a in enumerate(addresses, 1))) as run:
         ports[0].desk(free=0)
         second = ports[1].desk()
-        run.until(lambda: len([g for g in run.core.module.groups.values() if g.size > 0]) >= 2)
+        run.until(lambda: len([g for g in run.core.module.trunk_groups.values() if g.size > 0]) >= 2)
         yield run, second, Caller(run.port)
 
 
@@ -104,7 +104,7 @@
     port = Listening()
     with tandems(port) as (run, second, caller):
         peers = {2: second, 3: port.desk()}
-        run.until(lambda: run.core.module.groups[3].size > 0)
+        run.until(lambda: run.core.module.trunk_groups[3].size > 0)
         caller.invite(A)
         run.until(lambda: run.core.find(A) is not None and run.core.find(A).out is not None)  # type: ignore[union-attr]
         request = run.core.find(A)
@@ -285,7 +285,7 @@
     with running(target("d1", desk.address, 1), bus=bus.port.address) as run:
         assert bus.accept() == 1
         peer, caller = desk.desk(free=1000), Caller(run.port)
-        run.until(lambda: run.core.module.groups[1].size > 0)
+        run.until(lambda: run.core.module.trunk_groups[1].size > 0)
         back: Any = run.core.backs["binary"]
         calls, queued = [f"{n:016x}" for n in range(1, 40)], []
         for call in calls:  # the peer reads nothing: at some point a set-up stays with us whole
@@ -557,7 +557,7 @@
     desk = Listening()
     with running(target("d1", desk.address, 1), per_desk=2) as run:
         peers, caller = [desk.desk(), desk.desk()], Caller(run.port)
-        run.until(lambda: run.core.module.groups[1].size > 0)
+        run.until(lambda: run.core.module.trunk_groups[1].size > 0)
         caller.invite(A)
         caller.invite(B)
         found = {m.call: peer for peer in peers for m in [peer.take(lambda m: m.kind == binary.SET_UP)]}
@@ -574,7 +574,7 @@
         set_up(fresh, A)  # the processor is not blamed: the same route again, after the pause
         tell(fresh, binary.ANSWER, A, description=ANSWER)
         assert caller.answer(A).body == ANSWER
-        assert run.core.module.offices[1].bad.bad == 0.0
+        assert run.core.module.endpoints[1].failures.total == 0.0
 
 
 def test_a_flood_of_connections_closes_the_idle_and_keeps_the_busy() -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -33,7 +33,7 @@
 from arrowrail.wire.m3ua.isup import IsupType
 from tests.live import SDP, Caller, Listening, M3uaPeer, release, set_up, tell, wait_until
 from tests.records.corpus import INVENTORY, LIFTS
-from trackhatch import interface as i
+from trackhatch import interface
 
 S, MS = 1_000_000_000, 1_000_000
 T0 = 1_000 * S
@@ -497,12 +497,15 @@
 def test_pool_news_reaches_calls_that_wait_for_a_circuit() -> None:
     from tests.helpers import T0 as NOW
     from tests.helpers import call, entry, group, sent, settings
-    from trackhatch.choice import Controller
+    from trackhatch.controller import Controller
 
     module = Controller(settings(layout="groups", own_exchange=-1, pools_by_class=((1,), ())), 1)
-    module.step(NOW, [i.ExchangeList("restored", (entry(101), entry(102))), group(101, 0), group(102, 20)])
-    assert sent(module.step(NOW, [call("a", to=1)])) == [] and "a" in module.waiting[101]
-    assert sent(module.step(NOW + MS, [i.PoolNews("check", (2,))])) == [("a", 102)]
+    module.step(
+        NOW,
+        [interface.ExchangeListUpdate("restored", (entry(101), entry(102))), group(101, 0), group(102, 20)],
+    )
+    assert sent(module.step(NOW, [call("a", to=1)])) == [] and "a" in module.queued_calls[101]
+    assert sent(module.step(NOW + MS, [interface.PoolUpdate("check", (2,))])) == [("a", 102)]
     assert sent(module.step(NOW + MS, [call("b", to=2)])) == [("b", 102)]
-    module.step(NOW + 2 * MS, [i.PoolNews("check", ())])
+    module.step(NOW + 2 * MS, [interface.PoolUpdate("check", ())])
     assert sent(module.step(NOW + 2 * MS, [call("c", to=2)])) == []
--- a/trackhatch/__init__.py
+++ b/trackhatch/__init__.py
@@ -1,5 +1,5 @@
 """Routing and admission of calls in a network of exchanges."""
 
-from trackhatch.choice import Controller
+from trackhatch.controller import Controller
 
 __all__ = ["Controller"]
--- a/trackhatch/choice.py
+++ b/trackhatch/controller.py
@@ -16,7 +16,7 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from trackhatch import interface as i
+from trackhatch import interface
 
 # --- Constants: each with its unit and reason ------------------------------------------------------------
 
@@ -41,10 +41,10 @@
 REDIALS_IN_AIM = 5  # a refused caller is asked back after this part of the aim: a redial in the aim earns all
 NOTES_A_CALL = 0.2  # most notes that a controller is sent, over its calls: each costs its processor work
 NOTE, NOTE_BITS = 1, 1000  # first byte of a note to other controllers; exchange numbers that fit into it
-OFFICES_KEPT, NUMBERS_KEPT = 256, 512  # remembered before old ones are forgotten
+OFFICES_KEPT, MAX_NUMBERS = 256, 512  # remembered before old ones are forgotten
 MAY_HAVE_RUN = ("no_answer", "connection_lost", "called_off", "server_error")
 BUSY_LINES = 4  # cause: of the number called
-AWAIT_RELEASE = ("no_answer", "connection_lost", "called_off")
+RELEASE_AWAITED_OUTCOMES = ("no_answer", "connection_lost", "called_off")
 
 # --- Estimates --------------------------------------------------------------------------------------------
 
@@ -52,11 +52,11 @@
 class Share:
     """Share of outcomes that were bad, aged; without outcomes it fades to zero, or to a prior."""
 
-    __slots__ = ("age_s", "at", "bad", "seen")
+    __slots__ = ("age_s", "at", "seen", "total")
 
     def __init__(self, age_s: float = SHARE_AGE_S) -> None:
         self.age_s = age_s
-        self.seen = self.bad = 0.0
+        self.seen = self.total = 0.0
         self.at = 0
 
     def kept(self, now: int) -> float:
@@ -64,13 +64,13 @@
 
     def add(self, now: int, bad: float) -> None:
         keep = self.kept(now)
-        self.seen, self.bad, self.at = self.seen * keep + 1.0, self.bad * keep + bad, now
+        self.seen, self.total, self.at = self.seen * keep + 1.0, self.total * keep + bad, now
 
     def value(self, now: int, prior: float = 0.0) -> float:
-        if self.bad == prior == 0.0:
+        if self.total == prior == 0.0:
             return 0.0
         keep = self.kept(now)
-        return (self.bad * keep + prior * SHARE_PRIOR) / (self.seen * keep + SHARE_PRIOR)
+        return (self.total * keep + prior * SHARE_PRIOR) / (self.seen * keep + SHARE_PRIOR)
 
 
 class Leg(Share):
@@ -135,13 +135,13 @@
 class Office:
     """What is known of one processor and the group toward it."""
 
-    def __init__(self, entry: i.ListEntry, group: Group, longest_aim_s: float) -> None:
+    def __init__(self, entry: interface.ListEntry, group: Group, longest_aim_s: float) -> None:
         self.entry = entry
         self.longest_aim_s = longest_aim_s
         self.group = group
         self.in_transit = Share()  # s, mean of what its controller adds to calls in transit
         self.strays = Share()  # set-ups whose answer was lost or late, by those overtaken
-        self.bad = Share()  # refusals and time-outs of this processor
+        self.failures = Share()  # refusals and time-outs of this processor
         self.out: dict[str, int] = {}  # unanswered set-ups, oldest first, with the time each was sent
         self.floor = 0.0  # s, set-up time of the idle processor
         self.wait, self.wait_at = 0.0, 0  # s, above the floor
@@ -161,7 +161,7 @@
 
     def failed(self, now: int, bad: float, told_wait_s: float = 0.0) -> None:
         """It refused, or stayed silent: its wait is past the aims, however short the refusal took."""
-        self.bad.add(now, bad)
+        self.failures.add(now, bad)
         self.waits.add(now, self.longest_aim_s)
         told = min(told_wait_s, SILENCE * self.longest_aim_s)
         self.wait, self.wait_at = max(self.wait_left(now), self.longest_aim_s, told), now
@@ -189,7 +189,7 @@
     def accepts(self, now: int) -> float:
         """Chance that it takes one more set-up: neither refused, nor lost, nor held back as it asked."""
         held_back = self.cut_by * math.exp((self.cut_at - now) / (SHARE_AGE_S * SECOND))
-        return (1.0 - self.bad.value(now)) * (1.0 - held_back)
+        return (1.0 - self.failures.value(now)) * (1.0 - held_back)
 
     def wait_left(self, now: int) -> float:
         return max(0.0, self.wait - DRAIN_PACE * (now - self.wait_at) / SECOND)
@@ -247,9 +247,11 @@
         "tried", "waits_at", "waits_until", "worth",
     )  # fmt: skip
 
-    def __init__(self, offered: i.CallOffered, kind: i.CallClass, first_at: int) -> None:
+    def __init__(self, offered: interface.CallOffered, kind: interface.CallClass, first_at: int) -> None:
         self.o, self.kind, self.first_at = offered, kind, first_at
-        self.aim_at = first_at + min(kind.deadline_ns, kind.aim_ns + int(kind.aim_stretch * offered.work_ns))
+        self.aim_at = first_at + min(
+            kind.deadline_ns, kind.aim_ns + int(kind.aim_work_factor * offered.expected_work_ns)
+        )
         self.attempts = 0
         self.out = -1  # office of the attempt that is out
         self.tried: list[int] = []
@@ -263,26 +265,32 @@
 class Controller:
     """One instance: it knows its settings and what its own events told it, and nothing else."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.s = settings
         self.random = random.Random(seed)
-        self.kinds = {c.name: c for c in settings.classes}
+        self.call_classes = {c.name: c for c in settings.classes}
         self.pools = {c.name: p for c, p in zip(settings.classes, settings.pools_by_class, strict=False)}
         self.now = self.started = 0
         self.paused, self.was_paused = 0.0, False  # s since the turn before this one; whether it counts
         self.resumed_at = 0  # last turn after a pause that counts
-        self.acts: list[i.Action] = []
+        self.acts: list[interface.Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
-            i.GroupReport: lambda e: self.read_report(self.offices.get(e.office), e.report),
-            i.AttemptEnded: self.attempt_ended, i.CallStands: self.call_stands, i.TimerDue: self.timer_due,
-            i.CallerGone: self.caller_gone, i.ExchangeList: self.list_news, i.PeerNote: self.peer_note,
-            i.PoolNews: self.pool_news,
-        }  # fmt: skip
-        self.offices: dict[int, Office] = {}
-        self.groups: dict[int, Group] = {}  # by exchange, whichever processor stands there
+            interface.TrunkGroupReport: lambda e: self.read_report(
+                self.endpoints.get(e.endpoint_id), e.report
+            ),
+            interface.AttemptEnded: self.attempt_ended,
+            interface.CallEstablished: self.call_stands,
+            interface.TimerExpired: self.timer_due,
+            interface.CallerGone: self.caller_gone,
+            interface.ExchangeListUpdate: self.list_news,
+            interface.PeerMessage: self.peer_note,
+            interface.PoolUpdate: self.pool_news,
+        }
+        self.endpoints: dict[int, Office] = {}
+        self.trunk_groups: dict[int, Group] = {}  # by exchange, whichever processor stands there
         self.in_service: dict[int, Office] = {}  # by exchange, the own one left out
         self.calls: dict[str, Call] = {}
-        self.waiting: dict[int, list[str]] = {}  # calls held for a circuit, by office
+        self.queued_calls: dict[int, list[str]] = {}  # calls held for a circuit, by office
         self.far: dict[tuple[int, int], Leg] = {}  # by the exchanges at its ends, lower number first
         self.circuits = 0.0  # of all own groups
         self.notes: dict[int, tuple[int, int, int]] = {}  # by exchange: bits of its groups, with room, when
@@ -297,7 +305,7 @@
         self.longest_aim = max(c.aim_ns for c in settings.classes) / SECOND
         self.ask_pause, self.asked = SECOND, False
 
-    def step(self, now: int, events: Iterable[i.Event]) -> list[i.Action]:
+    def step(self, now: int, events: Iterable[interface.Event]) -> list[interface.Action]:
         """Outcomes and news of a batch come before its new calls, and those by worth.
 
         Guards against a pause of the own controller, after which all that came meanwhile stands in one batch
@@ -307,20 +315,20 @@
         self.started, self.now, self.acts = self.started or now, now, []
         self.was_paused = self.paused > self.tightest_aim / REDIALS_IN_AIM  # lags may hold the pause
         self.resumed_at = now if self.was_paused else self.resumed_at
-        offered: dict[str, i.CallOffered] = {}
+        offered: dict[str, interface.CallOffered] = {}
         for event in events:
-            if isinstance(event, i.CallOffered):
-                offered[event.call] = event
+            if isinstance(event, interface.CallOffered):
+                offered[event.call_id] = event
                 continue
-            if isinstance(event, i.CallerGone):
-                offered.pop(event.call, None)
+            if isinstance(event, interface.CallerGone):
+                offered.pop(event.call_id, None)
             self.handlers[type(event)](event)
         for call in sorted(offered.values(), key=lambda c: -self.kind_of(c).worth / c.width):
             self.offered(call)
         return self.acts
 
-    def kind_of(self, offered: i.CallOffered) -> i.CallClass:
-        kind = self.kinds.get(offered.class_name)  # an unknown class counts as the cheapest
+    def kind_of(self, offered: interface.CallOffered) -> interface.CallClass:
+        kind = self.call_classes.get(offered.class_name)  # an unknown class counts as the cheapest
         return kind or min(self.s.classes, key=lambda c: c.worth)
 
     # --- Scoring ------------------------------------------------------------------------------------------
@@ -424,7 +432,11 @@
         if left <= 0 or group.size < call.o.width:
             return -1.0
         freed = (group.size - group.free) / (call.kind.holding_ns / SECOND) / 2  # a second; half for this end
-        ahead = sum(1 for c in self.waiting.get(office.entry.office, ()) if self.calls[c].worth >= call.worth)
+        ahead = sum(
+            1
+            for c in self.queued_calls.get(office.entry.endpoint_id, ())
+            if self.calls[c].worth >= call.worth
+        )
         need = max(call.o.width, call.o.width + ahead - group.free)
         good = office.accepts(self.now) * math.exp(-need / max(0.01, freed * left))
         cost = self.work_price(office.expected(self.now)) + self.circuit_price(call, group)
@@ -432,25 +444,25 @@
 
     # --- Call life ----------------------------------------------------------------------------------------
 
-    def offered(self, event: i.CallOffered) -> None:
+    def offered(self, event: interface.CallOffered) -> None:
         kind = self.kind_of(event)
         call = Call(event, kind, self.first_try(event, kind))
         call.worth = kind.worth * self.within_share(call)
         self.mean_holding += 0.02 * (kind.holding_ns - self.mean_holding)
         self.mean_worth += 0.02 * (call.worth / event.width - self.mean_worth)
-        self.calls[event.call] = call
+        self.calls[event.call_id] = call
         if (
-            event.in_transit and {event.advice, event.destination} <= self.groups.keys()
+            event.in_transit and {event.via_exchange, event.destination} <= self.trunk_groups.keys()
         ):  # no direct way there
-            self.leg(event.advice, event.destination).add(self.now, 1.0)
+            self.leg(event.via_exchange, event.destination).add(self.now, 1.0)
         self.decide(call)
 
-    def first_try(self, event: i.CallOffered, kind: i.CallClass) -> int:
+    def first_try(self, event: interface.CallOffered, kind: interface.CallClass) -> int:
         """When the caller first tried: the aim runs from there, so a late redial earns only the late share.
 
         Known by the number called of tries sent away; a call that was cut starts anew.
         """
-        if event.in_transit or event.came_back or not (event.redialled or not self.s.redials_marked):
+        if event.in_transit or event.replaces_cut_call or not (event.redialled or not self.s.redials_marked):
             return self.now
         first = self.first_tries.pop(event.number, self.now)
         return first if self.now - first < kind.deadline_ns else self.now
@@ -483,7 +495,7 @@
             if direct is not None and not self.in_pools(call, direct):
                 direct = None
             if may_wait and not call.o.in_transit and call.waits_until == 0 and direct is not None:
-                untried = best is not direct and direct.entry.office not in call.tried
+                untried = best is not direct and direct.entry.endpoint_id not in call.tried
                 if untried and self.wait_score(call, direct) > best_score:
                     self.hold(call, direct)
                     return
@@ -493,26 +505,26 @@
             self.send(call, best)
 
     def send(self, call: Call, office: Office) -> None:
-        number = office.entry.office
+        number = office.entry.endpoint_id
         call.attempts += 1
         call.out = number
         call.tried.append(number)
-        office.out[call.o.call] = self.now
+        office.out[call.o.call_id] = self.now
         office.group.free -= call.o.width
         if self.now < office.cold_until:
             office.cold_sends.append(self.now)
-        self.acts.append(i.SetUp(call.o.call, number, 0))
+        self.acts.append(interface.SendSetUp(call.o.call_id, number, 0))
 
     def hold(self, call: Call, office: Office) -> None:
         left = min(call.aim_at, call.o.deadline_ns) - self.now
         call.waits_until = self.now + int(left * HOLD_SHARE)
-        call.waits_at = office.entry.office
-        self.waiting.setdefault(call.waits_at, []).append(call.o.call)
-        self.acts.append(i.SetTimer(call.waits_until - self.now, call.o.call))
+        call.waits_at = office.entry.endpoint_id
+        self.queued_calls.setdefault(call.waits_at, []).append(call.o.call_id)
+        self.acts.append(interface.SetTimer(call.waits_until - self.now, call.o.call_id))
 
     def serve_waiting(self, office: Office) -> None:
         """Circuits have come free: most worth first, then in order of arrival."""
-        queue = self.waiting.get(office.entry.office, [])
+        queue = self.queued_calls.get(office.entry.endpoint_id, [])
         queue.sort(key=lambda c: -self.calls[c].worth / self.calls[c].o.width)
         for name in list(queue):
             call = self.calls[name]
@@ -524,31 +536,31 @@
 
     def stop_waiting(self, call: Call) -> None:
         if call.waits_at >= 0:
-            self.waiting[call.waits_at].remove(call.o.call)
+            self.queued_calls[call.waits_at].remove(call.o.call_id)
             call.waits_at = -1
 
     def answer_no(self, call: Call) -> None:
         """The final answer: refused, or given up where a refusal would claim that nothing ran."""
         bound = call.kind.repeat == "single_shot" or call.kind.repeat_scope != "all"
         if call.ran_office >= 0 and call.kind.repeat != "free" and bound:
-            self.acts.append(i.GiveUp(call.o.call))
+            self.acts.append(interface.FailCall(call.o.call_id))
         else:
-            advice = call.kind.aim_ns // REDIALS_IN_AIM if self.s.may_advise_wait else 0
-            self.acts.append(i.Refuse(call.o.call, 0 if call.o.in_transit else advice))
+            advice = call.kind.aim_ns // REDIALS_IN_AIM if self.s.may_send_retry_after else 0
+            self.acts.append(interface.RefuseCall(call.o.call_id, 0 if call.o.in_transit else advice))
         self.forget(call)
 
     def forget(self, call: Call) -> None:
         if not (call.stands or call.o.in_transit):
             self.first_tries.pop(call.o.number, None)
-            if len(self.first_tries) >= NUMBERS_KEPT:
+            if len(self.first_tries) >= MAX_NUMBERS:
                 del self.first_tries[next(iter(self.first_tries))]
             self.first_tries[call.o.number] = call.first_at
         self.stop_waiting(call)
-        self.calls.pop(call.o.call, None)
+        self.calls.pop(call.o.call_id, None)
 
-    def call_stands(self, event: i.CallStands) -> None:
-        office, call = self.offices.get(event.office), self.calls.get(event.call)
-        sent_at, lag_s = office.out.pop(event.call, None) if office else None, event.lag_ns / SECOND
+    def call_stands(self, event: interface.CallEstablished) -> None:
+        office, call = self.endpoints.get(event.endpoint_id), self.calls.get(event.call_id)
+        sent_at, lag_s = office.out.pop(event.call_id, None) if office else None, event.latency_ns / SECOND
         if office is not None and sent_at is not None:
             via = False
             if call is not None:
@@ -561,7 +573,7 @@
                 if call.o.number in self.numbers:
                     self.numbers[call.o.number].add(self.now, 0.0)
             self.overtaken(office, sent_at)
-            office.bad.add(self.now, 0.0)
+            office.failures.add(self.now, 0.0)
             office.answered(self.now, lag_s, via or self.was_paused or sent_at == self.resumed_at)
             office.strays.add(self.now, 0.0)
         if call is not None:
@@ -582,7 +594,7 @@
                 office.strays.add(self.now, 1.0)
                 if call is not None and self.s.may_cancel and call.kind.repeat == "free":
                     wait = int(LOST_AFTER * call.kind.aim_ns) - (self.now - at)
-                    self.acts.append(i.SetTimer(max(1, wait), f"{LOST} {call.attempts} {name}"))
+                    self.acts.append(interface.SetTimer(max(1, wait), f"{LOST} {call.attempts} {name}"))
 
     def try_again(self, name: str, attempts: int) -> None:
         """Its answer is lost, as later ones came: cancelled, the call may go again, the same way too."""
@@ -591,99 +603,99 @@
             return
         if attempts < self.s.max_attempts and self.now + self.s.release_ns < call.o.deadline_ns:
             call.tried.remove(call.out)
-            self.acts.append(i.CancelSetUp(name, attempts - 1))
+            self.acts.append(interface.CancelSetUp(name, attempts - 1))
 
     def transit_took(self, tandem: Office, lag_s: float) -> None:
         """What a tandem's controller adds to the set-up time: it may stand still while its processor runs."""
         if not self.was_paused:
             tandem.in_transit.add(self.now, max(0.0, lag_s - tandem.expected(self.now)))
 
-    def attempt_ended(self, event: i.AttemptEnded) -> None:
-        office, call = self.offices.get(event.office), self.calls.get(event.call)
+    def attempt_ended(self, event: interface.AttemptEnded) -> None:
+        office, call = self.endpoints.get(event.endpoint_id), self.calls.get(event.call_id)
         if office is not None:
             self.read_report(office, event.report)
-            unanswered = office.out.pop(event.call, None) is not None
-            if call is not None and call.out == event.office:
+            unanswered = office.out.pop(event.call_id, None) is not None
+            if call is not None and call.out == event.endpoint_id:
                 self.learn(office, call, event, unanswered)
-        if call is None or call.out != event.office or call.attempts != event.attempt + 1:
+        if call is None or call.out != event.endpoint_id or call.attempts != event.attempt + 1:
             return
         call.out = -1
-        if event.call_over:
+        if event.call_ended:
             self.forget(call)
             return
         fault = event.outcome == "server_error" and event.cause != BUSY_LINES
-        if (fault or event.cause == i.LINK_BROKE) and event.office in call.tried:
+        if (fault or event.cause == interface.CAUSE_CONNECTION_FAILED) and event.endpoint_id in call.tried:
             # The route is as good as before.  Guards calls against an exchange that fails a share of its
             # set-ups, each for itself.  Harm: one that fails all of them costs more work.
-            call.tried.remove(event.office)
+            call.tried.remove(event.endpoint_id)
         if event.outcome in MAY_HAVE_RUN and call.ran_office < 0:
-            call.ran_office, call.ran_at = event.office, self.now - event.lag_ns
+            call.ran_office, call.ran_at = event.endpoint_id, self.now - event.latency_ns
         if self.now >= call.o.deadline_ns:
-            self.acts.append(i.GiveUp(call.o.call))
+            self.acts.append(interface.FailCall(call.o.call_id))
             self.forget(call)
         elif (event.outcome, event.cause) in (("server_error", BUSY_LINES), ("not_sent", 3)):
             self.answer_no(call)  # the lines are busy, or the own processor is down, by every route
-        elif event.outcome in AWAIT_RELEASE and self.s.release_ns:
+        elif event.outcome in RELEASE_AWAITED_OUTCOMES and self.s.release_ns:
             call.not_before = self.now + self.s.release_ns
             if call.not_before >= call.o.deadline_ns:
                 self.answer_no(call)
             else:
-                self.acts.append(i.SetTimer(self.s.release_ns, call.o.call))
+                self.acts.append(interface.SetTimer(self.s.release_ns, call.o.call_id))
         else:
             self.decide(call)
 
-    def learn(self, office: Office, call: Call, event: i.AttemptEnded, unanswered: bool) -> None:
+    def learn(self, office: Office, call: Call, event: interface.AttemptEnded, unanswered: bool) -> None:
         """Book a failed attempt to the processor, the far leg or the number that failed it."""
         via = office.entry.exchange != call.o.destination and self.s.layout == "meshed"
-        if event.cause == i.LINK_BROKE:
+        if event.cause == interface.CAUSE_CONNECTION_FAILED:
             return  # guards against healthy processors being shunned for their connections' faults
         if event.cause == 1:  # no circuit or agent, also where no size was ever told
             office.group.free = min(office.group.free, call.o.width - 1)
         elif event.outcome == "turned_away":
             if event.cause % 16 == 2:
-                office.bad.add(self.now, 0.0)
+                office.failures.add(self.now, 0.0)
                 self.tried_leg(office.entry.exchange, call.o.destination, 1.0)
-                self.transit_took(office, event.lag_ns / SECOND)
+                self.transit_took(office, event.latency_ns / SECOND)
                 last = self.in_service.get(call.o.destination)
                 if event.cause == 18 and last is not None:
-                    last.bad.add(self.now, 1.0)
+                    last.failures.add(self.now, 1.0)
             elif event.cause % 16 == 3:
                 office.failed(self.now, 1.0, event.cause // 16 / 1000.0)
         elif unanswered and event.outcome in ("no_answer", "no_connection", "connection_lost"):
             office.failed(self.now, 0.5 if via else 1.0)
         elif event.outcome == "server_error" and event.cause == BUSY_LINES:
-            if call.o.number not in self.numbers and len(self.numbers) >= NUMBERS_KEPT:
+            if call.o.number not in self.numbers and len(self.numbers) >= MAX_NUMBERS:
                 del self.numbers[next(iter(self.numbers))]
             self.numbers.setdefault(call.o.number, Share()).add(self.now, 1.0)
 
-    def caller_gone(self, event: i.CallerGone) -> None:
-        call = self.calls.get(event.call)
+    def caller_gone(self, event: interface.CallerGone) -> None:
+        call = self.calls.get(event.call_id)
         if call is None:
             return
-        office = self.offices.get(call.out)
-        if office is not None and event.call in office.out:
-            office.left_waiting(self.now, (self.now - office.out[event.call]) / SECOND - self.paused)
-            del office.out[event.call]
+        office = self.endpoints.get(call.out)
+        if office is not None and event.call_id in office.out:
+            office.left_waiting(self.now, (self.now - office.out[event.call_id]) / SECOND - self.paused)
+            del office.out[event.call_id]
         self.forget(call)
 
-    def timer_due(self, event: i.TimerDue) -> None:
-        if event.mark in ("list", "note"):
-            return self.ask_list() if event.mark == "list" else self.tell_peers()
-        if event.mark.startswith(LOST):
-            _, attempts, name = event.mark.split(" ", 2)
+    def timer_due(self, event: interface.TimerExpired) -> None:
+        if event.timer_id in ("list", "note"):
+            return self.ask_list() if event.timer_id == "list" else self.tell_peers()
+        if event.timer_id.startswith(LOST):
+            _, attempts, name = event.timer_id.split(" ", 2)
             return self.try_again(name, int(attempts))
-        call = self.calls.get(event.mark)
+        call = self.calls.get(event.timer_id)
         if call is not None and call.out < 0 and not call.stands and self.now >= call.not_before:
             self.stop_waiting(call)
             self.decide(call, may_wait=False)
 
     # --- Reports and the exchange list ----------------------------------------------------------------
 
-    def read_report(self, office: Office | None, report: i.Report | None) -> None:
+    def read_report(self, office: Office | None, report: interface.LoadReport | None) -> None:
         """Own circuits are true at that time; far figures sharpen the estimate where they are told."""
         if office is None or report is None:
             return
-        for name, value in report.figures:
+        for name, value in report.metrics:
             if name == "cut_by" and 0.0 <= value <= 1.0:
                 office.cut_by, office.cut_at = value, self.now
             if (
@@ -704,46 +716,49 @@
     def tried_leg(self, one: int, other: int, bad: float) -> None:
         leg = self.leg(one, other)
         if leg.seen == 0.0:
-            for share in (self.all_legs, *(self.groups[n].legs for n in (one, other) if n in self.groups)):
+            for share in (
+                self.all_legs,
+                *(self.trunk_groups[n].legs for n in (one, other) if n in self.trunk_groups),
+            ):
                 share.add(self.now, bad)
         leg.add(self.now, bad)
 
-    def list_news(self, event: i.ExchangeList) -> None:
-        if event.form == "unavailable":
-            self.acts.append(i.SetTimer(self.ask_pause, "list"))
-            self.ask_pause = min(2 * self.ask_pause, max(SECOND, self.s.must_ask_in_ns // 4))
+    def list_news(self, event: interface.ExchangeListUpdate) -> None:
+        if event.kind == "unavailable":
+            self.acts.append(interface.SetTimer(self.ask_pause, "list"))
+            self.ask_pause = min(2 * self.ask_pause, max(SECOND, self.s.list_query_deadline_ns // 4))
             return
         self.ask_pause = SECOND
-        known_before = bool(self.offices)
-        named = {e.office for e in event.entries}
+        known_before = bool(self.endpoints)
+        named = {e.endpoint_id for e in event.entries}
         for entry in event.entries:
-            office = self.offices.get(entry.office)
-            restarted = office is not None and entry.since_ns > office.entry.since_ns
+            office = self.endpoints.get(entry.endpoint_id)
+            restarted = office is not None and entry.started_ns > office.entry.started_ns
             if office is None or restarted:
-                group = self.groups.setdefault(entry.exchange, Group())  # a replacement takes it over
+                group = self.trunk_groups.setdefault(entry.exchange, Group())  # a replacement takes it over
                 fresh = Office(entry, group, self.longest_aim)
                 if office is not None:
                     fresh.out = office.out
-                if entry.since_ns or known_before:
-                    fresh.cold_until = (entry.since_ns or self.now) + self.s.cold_ns
-                self.offices[entry.office] = fresh
+                if entry.started_ns or known_before:
+                    fresh.cold_until = (entry.started_ns or self.now) + self.s.cold_ns
+                self.endpoints[entry.endpoint_id] = fresh
             else:
                 office.entry = entry
-        if event.form != "update":
-            for number, office in self.offices.items():
+        if event.kind != "update":
+            for number, office in self.endpoints.items():
                 if number not in named:
                     office.entry = replace(office.entry, state="terminated")
-        if len(self.offices) > OFFICES_KEPT:  # the table stays bounded: forget those long replaced
+        if len(self.endpoints) > OFFICES_KEPT:  # the table stays bounded: forget those long replaced
             held = {c.out for c in self.calls.values()} | {c.ran_office for c in self.calls.values()}
-            for number, office in list(self.offices.items()):
+            for number, office in list(self.endpoints.items()):
                 if office.entry.state == "terminated" and number not in held:
-                    del self.offices[number]
+                    del self.endpoints[number]
         self.in_service = {}
-        for office in self.offices.values():
+        for office in self.endpoints.values():
             if office.entry.state == "in_service" and office.entry.exchange != self.s.own_exchange:
                 self.in_service.setdefault(office.entry.exchange, office)
-        if self.s.may_tell and not known_before and 0 <= self.s.own_exchange < NOTE_BITS:
-            self.acts.append(i.SetTimer(SECOND * (self.s.rank + 1) // self.s.controllers, "note"))
+        if self.s.may_message_peers and not known_before and 0 <= self.s.own_exchange < NOTE_BITS:
+            self.acts.append(interface.SetTimer(SECOND * (self.s.rank + 1) // self.s.controllers, "note"))
         if self.s.discovery == "ask" and not self.asked:
             self.ask_list()
 
@@ -751,18 +766,20 @@
         pools = () if self.s.layout == "meshed" else self.pools.get(call.kind.name, ())
         return not pools or office.entry.exchange in pools
 
-    def pool_news(self, event: i.PoolNews) -> None:
+    def pool_news(self, event: interface.PoolUpdate) -> None:
         """A call that waits for a circuit where its class may no longer go is decided anew."""
         self.pools[event.class_name] = event.exchanges or (-1,)  # no exchange: none, where () is any
-        for office in [self.offices[n] for n, queue in self.waiting.items() if queue and n in self.offices]:
-            for call in [self.calls[name] for name in self.waiting[office.entry.office]]:
+        for office in [
+            self.endpoints[n] for n, queue in self.queued_calls.items() if queue and n in self.endpoints
+        ]:
+            for call in [self.calls[name] for name in self.queued_calls[office.entry.endpoint_id]]:
                 if not self.in_pools(call, office):
                     self.stop_waiting(call)
                     self.decide(call, may_wait=False)
 
     def ask_list(self) -> None:
         self.asked = True
-        self.acts.append(i.FollowList())
+        self.acts.append(interface.WatchExchangeList())
 
     # --- Notes between controllers ------------------------------------------------------------------------
 
@@ -773,23 +790,25 @@
         there is believed until the next note, a full one for a short while.
         """
         there = room = 0
-        for exchange, group in self.groups.items():
+        for exchange, group in self.trunk_groups.items():
             if group.size >= 1 and 0 <= exchange < NOTE_BITS:
                 there |= 1 << exchange
                 room |= (group.free >= 1 and group.displaced(1) < 0.5) << exchange
         size = there.bit_length() // 8 + 1
         parts = ((NOTE, 1), (self.s.own_exchange, 2), (there, size), (room, size))
-        self.acts.append(i.Tell(-1, b"".join(n.to_bytes(length, "big") for n, length in parts)))
+        self.acts.append(
+            interface.SendPeerMessage(-1, b"".join(n.to_bytes(length, "big") for n, length in parts))
+        )
         pause_s = self.s.controllers / max(0.1, self.planned_rate() * NOTES_A_CALL)
-        self.acts.append(i.SetTimer(int(max(SHARE_AGE_S, pause_s) * SECOND), "note"))
+        self.acts.append(interface.SetTimer(int(max(SHARE_AGE_S, pause_s) * SECOND), "note"))
 
-    def peer_note(self, event: i.PeerNote) -> None:
-        text = event.text
+    def peer_note(self, event: interface.PeerMessage) -> None:
+        text = event.payload
         size = (len(text) - 3) // 2
         if size < 1 or len(text) != 3 + 2 * size or text[0] != NOTE:
             return
         exchange = int.from_bytes(text[1:3], "big")
-        if exchange in self.groups:
+        if exchange in self.trunk_groups:
             there, room = (int.from_bytes(text[n : n + size], "big") for n in (3, 3 + size))
             self.notes[exchange] = (there, room, self.now)
 
@@ -797,12 +816,12 @@
 
     def may_send(self, call: Call, office: Office) -> bool:
         """Rules 2 to 4, checked before every send whatever the score says."""
-        if office.entry.state != "in_service" or call.out >= 0 or office.entry.office in call.tried:
+        if office.entry.state != "in_service" or call.out >= 0 or office.entry.endpoint_id in call.tried:
             return False
         if call.ran_office >= 0 and call.kind.repeat != "free":
             if call.kind.repeat == "single_shot":
                 return False
-            ran, here, scope = self.offices[call.ran_office].entry, office.entry, call.kind.repeat_scope
+            ran, here, scope = self.endpoints[call.ran_office].entry, office.entry, call.kind.repeat_scope
             same = ran.zone == here.zone if scope == "zone" else ran.exchange == here.exchange
             if not (same or scope == "all") or self.now >= call.ran_at + call.kind.repeat_window_ns:
                 return False
@@ -810,7 +829,7 @@
 
     def planned_rate(self) -> float:
         """Calls a second, out or in, that an exchange's circuits or a pool's agents are built for."""
-        shared_by = 2 if self.s.layout == "meshed" else max(1, len(self.groups))
+        shared_by = 2 if self.s.layout == "meshed" else max(1, len(self.trunk_groups))
         return self.circuits / shared_by / (self.mean_holding / SECOND)
 
     def within_cold_budget(self, office: Office) -> bool:
--- a/trackhatch/interface.py
+++ b/trackhatch/interface.py
@@ -22,7 +22,7 @@
     worth: float
     late_share: float  # share of the worth when it stands after the aim, within the caller's time
     aim_ns: int  # wanted set-up time
-    aim_stretch: float  # the aim grows by this many times the call's own work
+    aim_work_factor: float  # the aim grows by this many times the call's own work
     deadline_ns: int  # how long a caller goes on trying, from the first try
     holding_ns: int  # mean holding time
     width: int  # circuits on each trunk group
@@ -63,7 +63,7 @@
     controllers: int  # instances in all
     rank: int
     discovery: str  # "push" or "ask"
-    must_ask_in_ns: int
+    list_query_deadline_ns: int
     release_ns: int
     resend_ns: int  # 0: a waiting set-up is not sent again by itself
     drain_grace_ns: int
@@ -73,11 +73,11 @@
     fall_ns: int
     max_attempts: int
     may_probe: bool
-    may_tell: bool
+    may_message_peers: bool
     may_cancel: bool
-    may_advise_wait: bool
-    max_wait_advice_ns: int
-    centre_advice: bool
+    may_send_retry_after: bool
+    max_retry_after_ns: int
+    central_advice: bool
     redials_marked: bool  # callers mark their redials
     report_fields: tuple[str, ...]
 
@@ -103,18 +103,18 @@
 class ListEntry:
     """One processor in the exchange list."""
 
-    office: int
+    endpoint_id: int
     zone: str
     exchange: int
     state: str  # "in_service", "terminating" or "terminated"
-    since_ns: int  # clock time of its last start; 0: long ago
+    started_ns: int  # clock time of its last start; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
-class ExchangeList:
+class ExchangeListUpdate:
     """News of the exchange list."""
 
-    form: str  # "update", "replace", "restored" or "unavailable"
+    kind: str  # "update", "replace", "restored" or "unavailable"
     entries: tuple[ListEntry, ...]
 
 
@@ -122,82 +122,84 @@
 class CallOffered:
     """A call is handed to this controller, from a subscriber or in transit."""
 
-    call: str
+    call_id: str
     class_name: str
     tenant: str
     destination: int
     number: int
     width: int
     deadline_ns: int  # clock time at which the caller gives this try up
-    work_ns: int  # expected own work; 0 where unsaid
+    expected_work_ns: int  # expected own work; 0 where unsaid
     in_transit: bool
     redialled: bool
-    came_back: bool
-    advice: int  # tandem or pool with most room at the centre's last look; -1: none
+    replaces_cut_call: bool
+    via_exchange: int  # tandem or pool with most room at the centre's last look; -1: none
 
 
 @dataclass(frozen=True, slots=True)
-class CallStands:
-    call: str
-    office: int
+class CallEstablished:
+    call_id: str
+    endpoint_id: int
     attempt: int
-    lag_ns: int
+    latency_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadReport:
     """Circuits of the own group toward an office, and figures of its processor by name."""
 
     free: float  # -1: not told
     size: float
-    figures: tuple[tuple[str, float], ...]
+    metrics: tuple[tuple[str, float], ...]
 
 
-LINK_BROKE = 5  # a cause: the connection to the office failed, which says nothing of its processor
+CAUSE_CONNECTION_FAILED = (
+    5  # a cause: the connection to the office failed, which says nothing of its processor
+)
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
     """The one outcome of an attempt."""
 
-    call: str
-    office: int
+    call_id: str
+    endpoint_id: int
     attempt: int
     outcome: str  # served, server_error, turned_away, no_answer, no_connection, connection_lost, ...
-    lag_ns: int
-    call_over: bool
+    latency_ns: int
+    call_ended: bool
     cause: int
-    report: Report | None
+    report: LoadReport | None
 
 
 @dataclass(frozen=True, slots=True)
-class GroupReport:
+class TrunkGroupReport:
     """The own group toward an office has changed, or a probe has come back."""
 
-    office: int
+    endpoint_id: int
     outcome: str
-    lag_ns: int
-    report: Report | None
+    latency_ns: int
+    report: LoadReport | None
 
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    call: str
+    call_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
-    mark: str
+class TimerExpired:
+    timer_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class PeerNote:
+class PeerMessage:
     sender: int
-    text: bytes
+    payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class PoolNews:
+class PoolUpdate:
     """The exchanges that a class of the layout "groups" may use from now on; empty: none."""
 
     class_name: str
@@ -205,66 +207,68 @@
 
 
 Event = (
-    ExchangeList
+    ExchangeListUpdate
     | CallOffered
-    | CallStands
+    | CallEstablished
     | AttemptEnded
-    | GroupReport
+    | TrunkGroupReport
     | CallerGone
-    | TimerDue
-    | PeerNote
-    | PoolNews
+    | TimerExpired
+    | PeerMessage
+    | PoolUpdate
 )
 
 # Actions
 
 
 @dataclass(frozen=True, slots=True)
-class SetUp:
+class SendSetUp:
     """Send a set-up to the destination, or to a tandem on the way."""
 
-    call: str
-    office: int
-    time_out_ns: int  # 0: until the caller gives up
+    call_id: str
+    endpoint_id: int
+    timeout_ns: int  # 0: until the caller gives up
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
-    call: str
-    stay_away_ns: int  # 0: no advice
+class RefuseCall:
+    call_id: str
+    retry_after_ns: int  # 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
-    call: str
+class FailCall:
+    call_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    in_ns: int
-    mark: str
+    delay_ns: int
+    timer_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class FollowList:
+class WatchExchangeList:
     """Ask the exchange list for changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelSetUp:
-    call: str
+    call_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    office: int
+    endpoint_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendPeerMessage:
     peer: int  # -1: all
-    text: bytes
+    payload: bytes
 
 
-Action = SetUp | Refuse | GiveUp | SetTimer | FollowList | CancelSetUp | Probe | Tell
+Action = (
+    SendSetUp | RefuseCall | FailCall | SetTimer | WatchExchangeList | CancelSetUp | Probe | SendPeerMessage
+)
--- a/trackhatch/simhost.py
+++ b/trackhatch/simhost.py
@@ -13,8 +13,8 @@
 
 import orjson
 
-from trackhatch import interface as i
-from trackhatch.choice import Controller
+from trackhatch import interface
+from trackhatch.controller import Controller
 
 Msg = dict[str, Any]
 
@@ -23,15 +23,15 @@
     """A line that is no batch."""
 
 
-def read_settings(info: Msg) -> i.Settings:
+def read_settings(info: Msg) -> interface.Settings:
     """Settings from the wire's ``info`` object; ``ValueError`` names a field that is missing or wrong."""
     try:
         family, limits, rules = info["family-info"], info["policy-limits"], info["contract"]
         report = info.get("report") or {}
-        return i.Settings(
+        return interface.Settings(
             classes=tuple(_read_class(c, n, family) for n, c in enumerate(info["classes"])),
             tenants=tuple(
-                i.Tenant(str(t["name"]), float(t["quota-per-s"])) for t in info.get("tenants") or ()
+                interface.Tenant(str(t["name"]), float(t["quota-per-s"])) for t in info.get("tenants") or ()
             ),
             over_share_worth=float(info.get("over-share-worth", 1.0)),
             layout=family["layout"],
@@ -41,7 +41,7 @@
             controllers=int(info["instances"]),
             rank=int(info.get("rank", 0)),
             discovery=info["discovery"],
-            must_ask_in_ns=int(rules.get("must-ask-in-ns", 0)),
+            list_query_deadline_ns=int(rules.get("must-ask-in-ns", 0)),
             release_ns=int(family["release-ns"] if "release-ns" in family else family["clear-ns"]),
             resend_ns=int(family.get("resend-ns", 0)),
             drain_grace_ns=int(rules["drain-grace-ns"]),
@@ -51,11 +51,11 @@
             fall_ns=int(rules["fall-ns"]),
             max_attempts=int(limits["max-attempts"]),
             may_probe=bool(limits.get("may-probe")),
-            may_tell=bool(limits.get("may-tell")),
+            may_message_peers=bool(limits.get("may-tell")),
             may_cancel=bool(limits.get("may-cancel")),
-            may_advise_wait=bool(limits.get("retry-after")),
-            max_wait_advice_ns=int(limits.get("max-retry-after-ns", 0)),
-            centre_advice=bool(family.get("advice")),
+            may_send_retry_after=bool(limits.get("retry-after")),
+            max_retry_after_ns=int(limits.get("max-retry-after-ns", 0)),
+            central_advice=bool(family.get("advice")),
             redials_marked=bool((info.get("clients") or {}).get("marks-retry")),
             report_fields=tuple(report.get("fields") or ()),
         )
@@ -65,17 +65,17 @@
         raise ValueError(f"settings make no sense: {wrong}") from wrong
 
 
-def _read_class(c: Msg, n: int, family: Msg) -> i.CallClass:
+def _read_class(c: Msg, n: int, family: Msg) -> interface.CallClass:
     for field in ("class-hold-ns", "mean-hold-ns", "widths"):
         if len(family.get(field, range(n + 1))) <= n:
             raise ValueError(f"settings lack {field} for class {n}")
     holds = family["class-hold-ns"] if "class-hold-ns" in family else family["mean-hold-ns"]
-    return i.CallClass(
+    return interface.CallClass(
         name=str(c["name"]),
         worth=float(c["worth"]),
         late_share=float(c.get("late-share", 0.0)),
         aim_ns=int(c["objective-ns"]),
-        aim_stretch=float(c.get("aim-stretch", 0.0)),
+        aim_work_factor=float(c.get("aim-stretch", 0.0)),
         deadline_ns=int(c["deadline-ns"]),
         holding_ns=int(holds[n]),
         width=int(family["widths"][n]),
@@ -85,69 +85,71 @@
     )
 
 
-def _read_report(usage: dict[str, float] | None) -> i.Report | None:
+def _read_report(usage: dict[str, float] | None) -> interface.LoadReport | None:
     if not usage:
         return None
     rest = tuple((k, v) for k, v in usage.items() if k not in ("spare", "total"))
-    return i.Report(usage.get("spare", -1), usage.get("total", -1), rest)
+    return interface.LoadReport(usage.get("spare", -1), usage.get("total", -1), rest)
 
 
-def _inbound(m: Msg) -> i.CallOffered:
-    return i.CallOffered(
-        call=m["rid"],
+def _inbound(m: Msg) -> interface.CallOffered:
+    return interface.CallOffered(
+        call_id=m["rid"],
         class_name=m.get("kind", ""),
         tenant=str(m.get("user-group") or ""),
         destination=m.get("called-node", -1),
         number=m.get("affinity", 0),
         width=m.get("width", 1),
         deadline_ns=m["deadline-ns"],
-        work_ns=m.get("expected-ns", 0),
+        expected_work_ns=m.get("expected-ns", 0),
         in_transit=m.get("midflow", False),
         redialled=m.get("again-by-client", False),
-        came_back=m.get("came-back", False),
-        advice=m.get("through", -1),
+        replaces_cut_call=m.get("came-back", False),
+        via_exchange=m.get("through", -1),
     )
 
 
-def _outcome(m: Msg) -> i.AttemptEnded:
-    return i.AttemptEnded(
+def _outcome(m: Msg) -> interface.AttemptEnded:
+    return interface.AttemptEnded(
         m["rid"], m["office"], m.get("go", 0), m["code"], m.get("lag-ns", 0), m.get("last", False),
         m.get("cause", 0), _read_report(m.get("usage")),
     )  # fmt: skip
 
 
-READERS: dict[str, Callable[[Msg], i.Event]] = {
+READERS: dict[str, Callable[[Msg], interface.Event]] = {
     "inbound": _inbound,
     "outcome": _outcome,
-    "head-received": lambda m: i.CallStands(m["rid"], m["office"], m.get("go", 0), m.get("lag-ns", 0)),
-    "status-back": lambda m: i.GroupReport(
+    "head-received": lambda m: interface.CallEstablished(
+        m["rid"], m["office"], m.get("go", 0), m.get("lag-ns", 0)
+    ),
+    "status-back": lambda m: interface.TrunkGroupReport(
         m["office"], m.get("code", ""), m.get("lag-ns", 0), _read_report(m.get("usage"))
     ),
-    "dropped": lambda m: i.CallerGone(m["rid"]),
-    "elapsed": lambda m: i.TimerDue(m.get("ctx", "")),
-    "message": lambda m: i.PeerNote(m.get("by", -1), base64.b64decode(m.get("msg", ""))),
+    "dropped": lambda m: interface.CallerGone(m["rid"]),
+    "elapsed": lambda m: interface.TimerExpired(m.get("ctx", "")),
+    "message": lambda m: interface.PeerMessage(m.get("by", -1), base64.b64decode(m.get("msg", ""))),
 }
 
 
-def write_action(action: i.Action) -> Msg:
+def write_action(action: interface.Action) -> Msg:
     """One action as the wire words it."""
     match action:
-        case i.SetUp(call, office, time_out):
+        case interface.SendSetUp(call, office, time_out):
             body: Msg = {"rid": call, "office": office}
             return {"dispatch": body | {"within-ns": time_out} if time_out else body}
-        case i.Refuse(call, stay_away):
+        case interface.RefuseCall(call, stay_away):
             return {"push-back": {"rid": call, "backoff-ns": stay_away} if stay_away else {"rid": call}}
-        case i.GiveUp(call):
+        case interface.FailCall(call):
             return {"report-failure": {"rid": call}}
-        case i.SetTimer(in_ns, mark):
+        case interface.SetTimer(in_ns, mark):
             return {"timer": {"in-ns": in_ns, "ctx": mark}}
-        case i.FollowList():
+        case interface.WatchExchangeList():
             return {"stream-changes": {"active": True}}
-        case i.CancelSetUp(call, attempt):
+        case interface.CancelSetUp(call, attempt):
             return {"drop-attempt": {"rid": call, "go": attempt}}
-        case i.Probe(office):
+        case interface.Probe(office):
             return {"ping": {"office": office}}
-        case i.Tell(peer, text):
+        case interface.SendPeerMessage(peer, text):
             to: int | str = "*" if peer < 0 else peer
             return {"signal": {"neighbour-id": to, "msg": base64.b64encode(text).decode()}}
 
@@ -157,7 +159,7 @@
 
     def __init__(self) -> None:
         self.controllers: dict[int, Controller] = {}
-        self.pages: dict[int, tuple[i.ListEntry, ...]] = {}
+        self.pages: dict[int, tuple[interface.ListEntry, ...]] = {}
 
     def batch(self, line: bytes) -> bytes:
         """Answer one line with one line; ``WireError`` where it is no batch."""
@@ -179,7 +181,7 @@
         return orjson.dumps({"groups": replies})
 
     def _instance(self, number: int, now: int, messages: list[Msg]) -> list[Msg]:
-        events: list[i.Event] = []
+        events: list[interface.Event] = []
         actions: list[Msg] = []
         for message in messages:
             for name, m in message.items():
@@ -187,7 +189,7 @@
                     self.pages[m["page"]] = tuple(_entry(e) for e in m["lines"])
                 elif name == "announce":
                     entries = () if m["form"] == "unavailable" else self.pages.get(m.get("page", -1), ())
-                    events.append(i.ExchangeList(m["form"], entries))
+                    events.append(interface.ExchangeListUpdate(m["form"], entries))
                 elif name in ("stop", "spawn"):
                     actions += self._run(number, now, events)
                     events = []
@@ -200,15 +202,15 @@
                     events.append(READERS[name](m))
         return actions + self._run(number, now, events)
 
-    def _run(self, number: int, now: int, events: list[i.Event]) -> list[Msg]:
+    def _run(self, number: int, now: int, events: list[interface.Event]) -> list[Msg]:
         controller = self.controllers.get(number)
         if controller is None or not events:
             return []
         return [write_action(a) for a in controller.step(now, events)]
 
 
-def _entry(e: Msg) -> i.ListEntry:
-    return i.ListEntry(
+def _entry(e: Msg) -> interface.ListEntry:
+    return interface.ListEntry(
         e["office"], e.get("site", ""), e.get("cell", -1), e["readiness"], e.get("since-ns", 0)
     )
 
