--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -109,7 +109,7 @@
     now = T0 + 2500 * MS
     assert sent(c.step(now, [call("c", now=now)])) == [("c", 101)]
     c.step(now, [stands("lost", 101, lag=2500)])  # it comes all the same, and tells nothing of the line
-    assert c.endpoints[101].expected(now) < 0.2
+    assert c.endpoints[101].expected_s(now) < 0.2
 
 
 def test_where_answers_get_lost_a_lone_set_up_shuts_no_route_and_trials_follow() -> None:
@@ -120,7 +120,7 @@
     now = T0 + S
     c.step(now, [call("alone", now=now)])
     assert sent(c.step(now + 900 * MS, [call("next", now=now)])) == [("next", 101)]
-    assert c.endpoints[101].expected(now + 900 * MS) < 0.2
+    assert c.endpoints[101].expected_s(now + 900 * MS) < 0.2
     later = now + 2400 * MS
     assert sent(c.step(later, [call("trial", now=later)])) == [("trial", 101)]
     assert refused(c.step(later, [call("fourth", now=later)])) == ["fourth"]
@@ -214,11 +214,11 @@
     for k in range(12):
         c.step(T0, [call(f"c{k}", kind=DEAR, number=5)])
         c.step(T0, [ended(f"c{k}", 101, "server_error", cause=4, lag=1)])
-    assert c.numbers[5].value(T0) > 0.9
+    assert c.busy_numbers[5].value(T0) > 0.9
     for k in range(MAX_NUMBERS + 50):
         c.step(T0 + S, [call(f"n{k}", kind=DEAR, number=1000 + k)])
         c.step(T0 + S, [ended(f"n{k}", 101, "server_error", cause=4, lag=1)])
-    assert len(c.numbers) <= MAX_NUMBERS
+    assert len(c.busy_numbers) <= MAX_NUMBERS
 
 
 def test_pools_are_all_routes_and_first_choice_comes_first() -> None:
@@ -419,7 +419,7 @@
         c.step(T0 + k * 100 * MS, [call("b", kind=DEAR)] if k == 1 else [])
     now = T0 + 1100 * MS
     c.step(now, [stands("b", 101, lag=1000)])
-    assert 0.3 < c.endpoints[101].expected(now) < 0.7
+    assert 0.3 < c.endpoints[101].expected_s(now) < 0.7
 
 
 def test_callers_who_leave_early_do_not_close_a_processor() -> None:
@@ -526,7 +526,7 @@
         c.step(now + 10 * MS, [stands(f"c{k}", 102, lag=80 if k == 0 else 1500)])
     now = T0 + 4 * S
     c.step(now, [group(103, 3)])
-    assert c.endpoints[102].expected(now) < 0.2
+    assert c.endpoints[102].expected_s(now) < 0.2
     assert _via(c, "x", now) == 103
 
 
@@ -536,5 +536,5 @@
         now = T0 + k * 200 * MS
         c.step(now, [call(f"c{k}", to=2, kind=DEAR, now=now)])
         c.step(now + 10 * MS, [stands(f"c{k}", 102, lag=lag)])
-    assert c.endpoints[102].expected_lately(now + 10 * MS) < 0.2
-    assert c.endpoints[102].expected_lately(now + 4 * S) > 0.5
+    assert c.endpoints[102].expected_smoothed_s(now + 10 * MS) < 0.2
+    assert c.endpoints[102].expected_smoothed_s(now + 4 * S) > 0.5
--- a/trackhatch/controller.py
+++ b/trackhatch/controller.py
@@ -1,11 +1,13 @@
-"""All decisions of a call controller: which route a call takes, and whether it is admitted.
+"""Decision module of the call controller: which route a call takes, and whether it is admitted.
 
-Settings, events and actions are defined in ``trackhatch/interface.py``; this module does no I/O and
-reads no clock.  ``Controller.step(now, events)`` returns the actions in their order.
+Settings, events and actions are defined in ``trackhatch/interface.py``.  This module does no I/O and reads no
+clock: ``Controller.step(now, events)`` returns the actions to carry out, in order.
 
-The rule (Milito, Levy, Arian, ITC-13, 1991): every route of a call is scored as
-worth x (1 - failure probability) - cost; the best is taken, and the call is refused when none is above
-zero.  Everything else here estimates the probability and the cost, or keeps one of the five rules.
+Routes are scored as in Milito, Levy, Arian (ITC-13, 1991): worth x (1 - failure probability) - cost.  The
+route with the highest score is taken; the call is refused when no score is above zero.  Everything else in
+this module estimates the probability and the cost, or enforces the rules that hold whatever the score: every
+call gets its final answer in time, endpoints that drain get no new calls, repeated attempts stay within what
+the call class allows, endpoints in slow start are not overloaded, and the release time is waited for.
 """
 
 from __future__ import annotations
@@ -18,831 +20,1006 @@
 
 from trackhatch import interface
 
-# --- Constants: each with its unit and reason ------------------------------------------------------------
-
-SECOND = 1_000_000_000  # ns
-SHARE_AGE_S = 10.0  # s, ageing of outcome shares: the design's starting value
-RATE_AGE_S = 30.0  # s, ageing of traffic figures: a few holding times, so a burst does not move them
-SHARE_PRIOR = 1.0  # outcomes; an unheard route counts as good, one failure as even odds
-STEEPNESS = 3.0  # the failure curve over expected set-up time: 1/65 at a quarter of the aim, 1/2 at the aim
-DRAIN_PACE = 0.5  # s of wait lost in a second unheard: between a queue left alone (1) and one kept fed (0)
-OWN_SHARE_OF_QUEUE = 0.25  # growth of the expected set-up time with each own set-up still unanswered
-HANDICAP = 0.1  # of the mean worth, for each tandem leg: the design's small fixed cost
-LEGS = 2.0  # a two-leg route is charged for the leg it cannot see as for the one it sees
-DOUBT = 0.5  # longest aims that a set-up may wait alone before it counts as held up rather than lost
-UNLIKELY = 0.05  # chance at which set-ups are no longer held to be all lost
-OFTEN_LOST, TRIAL = 0.02, 0.1  # share of lost answers; longest aims from one trial to the next, above it
-STRAY = 0.002  # share of lost and late answers above which that is likelier than a line that forms at once
-LOST, LOST_AFTER = "lost?", 0.2  # of the aim: when an overtaken set-up is cancelled; the rest is for another
-SILENCE = 2.0  # longest aims without an answer: a set-up that takes longer earns little
-PRESS = 2.0  # mean worths that a set-up expected to take the tightest aim displaces at its processor
-HOLD_SHARE = 0.6  # of the aim that is left: how long a call may wait for a circuit and still be set up in it
-COLD_CAUTION = 0.5  # of the cold budget is used: the capacity behind it is a guess
-REDIALS_IN_AIM = 5  # a refused caller is asked back after this part of the aim: a redial in the aim earns all
-NOTES_A_CALL = 0.2  # most notes that a controller is sent, over its calls: each costs its processor work
-NOTE, NOTE_BITS = 1, 1000  # first byte of a note to other controllers; exchange numbers that fit into it
-OFFICES_KEPT, MAX_NUMBERS = 256, 512  # remembered before old ones are forgotten
-MAY_HAVE_RUN = ("no_answer", "connection_lost", "called_off", "server_error")
-BUSY_LINES = 4  # cause: of the number called
+# --- Constants --------------------------------------------------------------------------------------------
+
+SECOND_NS = 1_000_000_000
+
+# Time constant (s) of averages over outcomes.
+OUTCOME_DECAY_S = 10.0
+# Time constant (s) of traffic averages: a few holding times, so that a burst does not move them.
+TRAFFIC_DECAY_S = 30.0
+# Weight of the prior, in outcomes: a route without outcomes counts as good, one failure as even odds.
+PRIOR_WEIGHT = 1.0
+# Exponent of the probability that a set-up misses its target time, as a function of the expected set-up time:
+# 1/65 at a quarter of the target, 1/2 at the target.
+LATENESS_EXPONENT = 3.0
+# Seconds of queueing time assumed to drain per second without news of an endpoint: between a queue that gets
+# no new calls (1) and one that is kept full (0).
+QUEUE_DRAIN_RATE = 0.5
+# Relative growth of the expected set-up time for each of the controller's own unanswered set-ups.
+WAIT_GROWTH_PER_PENDING = 0.25
+# Small fixed cost of a tandem leg, in mean worths.
+TANDEM_PENALTY = 0.1
+# A two-leg route is charged for the circuits of the leg that is not visible as for those of the visible one.
+TWO_LEG_CIRCUIT_FACTOR = 2.0
+# How long the oldest set-up may go unanswered, in longest target times, before it counts as queued rather
+# than lost.
+LONE_PENDING_LIMIT = 0.5
+# Probability below which the unanswered set-ups are no longer assumed to be all lost.
+ALL_LOST_PROBABILITY = 0.05
+# Above this share of lost answers, trial set-ups are sent, at this interval in longest target times.
+FREQUENT_LOSS_SHARE, TRIAL_INTERVAL = 0.02, 0.1
+# Share of lost and late answers above which an unanswered set-up is more likely lost than a sign of a queue
+# that has just formed.
+LOSS_SHARE_THRESHOLD = 0.002
+# Timer that cancels an overtaken set-up: prefix of its id, and its delay as a share of the target time.  The
+# rest of the target time is left for another attempt.
+CANCEL_TIMER_PREFIX, CANCEL_DELAY = "lost?", 0.2
+# A set-up without an answer for this many longest target times counts as failed: one that takes longer earns
+# little.
+SILENCE_LIMIT = 2.0
+# Mean worths that a set-up displaces at its endpoint if it is expected to take the shortest target time.
+PROCESSOR_COST_FACTOR = 2.0
+# Share of the remaining target time that a call may wait for a circuit and still be set up in time.
+QUEUE_TIME_SHARE = 0.6
+# Share of the slow-start limit that is used, as the capacity it is computed from is only estimated.
+SLOW_START_SAFETY = 0.5
+# A refused caller is advised to redial after its target time divided by this: a redial within the target time
+# earns the full worth.
+REDIAL_DELAY_DIVISOR = 5
+# Most peer messages that a controller receives per call: each costs its processor work.
+MESSAGES_PER_CALL = 0.2
+# Peer messages: value of the first byte, and the limit of exchange numbers that fit into one.
+MESSAGE_TYPE, MAX_MESSAGE_EXCHANGES = 1, 1000
+# Entries kept before the oldest are dropped.
+MAX_ENDPOINTS, MAX_NUMBERS = 256, 512
+# Outcomes after which the endpoint may have set the call up all the same.
+POSSIBLY_EXECUTED_OUTCOMES = ("no_answer", "connection_lost", "called_off", "server_error")
+# Cause code: all lines of the called number are busy.
+CAUSE_USER_BUSY = 4
+# Outcomes after which the endpoint may hold the call until the release time is over.
 RELEASE_AWAITED_OUTCOMES = ("no_answer", "connection_lost", "called_off")
 
 # --- Estimates --------------------------------------------------------------------------------------------
 
 
-class Share:
-    """Share of outcomes that were bad, aged; without outcomes it fades to zero, or to a prior."""
+class DecayingAverage:
+    """Exponentially decaying average; without new values it returns to zero, or to a prior."""
 
-    __slots__ = ("age_s", "at", "seen", "total")
+    __slots__ = ("time_constant_s", "total", "updated_ns", "weight")
 
-    def __init__(self, age_s: float = SHARE_AGE_S) -> None:
-        self.age_s = age_s
-        self.seen = self.total = 0.0
-        self.at = 0
+    def __init__(self, time_constant_s: float = OUTCOME_DECAY_S) -> None:
+        self.time_constant_s = time_constant_s
+        self.weight = self.total = 0.0
+        self.updated_ns = 0
 
-    def kept(self, now: int) -> float:
-        return math.exp((self.at - now) / (self.age_s * SECOND))
+    def decay_factor(self, now: int) -> float:
+        return math.exp((self.updated_ns - now) / (self.time_constant_s * SECOND_NS))
 
-    def add(self, now: int, bad: float) -> None:
-        keep = self.kept(now)
-        self.seen, self.total, self.at = self.seen * keep + 1.0, self.total * keep + bad, now
+    def add(self, now: int, value: float) -> None:
+        decay = self.decay_factor(now)
+        self.weight, self.total, self.updated_ns = self.weight * decay + 1.0, self.total * decay + value, now
 
     def value(self, now: int, prior: float = 0.0) -> float:
         if self.total == prior == 0.0:
             return 0.0
-        keep = self.kept(now)
-        return (self.total * keep + prior * SHARE_PRIOR) / (self.seen * keep + SHARE_PRIOR)
+        decay = self.decay_factor(now)
+        return (self.total * decay + prior * PRIOR_WEIGHT) / (self.weight * decay + PRIOR_WEIGHT)
 
 
-class Leg(Share):
-    """The group between two other exchanges, known by what became of calls over it.
+class RemoteLeg(DecayingAverage):
+    """Failure share of the trunk group between two other exchanges, learned from calls over it.
 
-    One that has carried a call exists, and was only full when it turned others back: its share fades to
-    zero.  One that never did may not exist at all: its share fades slower, to that of legs never tried.
+    A group that has carried a call exists and fails only while it is full: its failure share decays to zero.
+    One that has not may not exist at all: its failure share decays more slowly, to that of untried legs.
     """
 
-    __slots__ = ("worked",)
+    __slots__ = ("carried_call",)
 
     def __init__(self) -> None:
-        super().__init__(RATE_AGE_S)
-        self.worked = False
+        super().__init__(TRAFFIC_DECAY_S)
+        self.carried_call = False
 
-    def add(self, now: int, bad: float) -> None:
-        super().add(now, bad)
-        if not bad:
-            self.worked, self.age_s = True, SHARE_AGE_S
+    def add(self, now: int, failure: float) -> None:
+        super().add(now, failure)
+        if not failure:
+            self.carried_call, self.time_constant_s = True, OUTCOME_DECAY_S
 
-    def fails(self, now: int, untried: float) -> float:
-        return self.value(now, 0.0 if self.worked else untried)
+    def failure_share(self, now: int, untried: float) -> float:
+        return self.value(now, 0.0 if self.carried_call else untried)
 
 
-class Group:
-    """Circuits of an own group, or free agents of a pool, and what one more of them displaces."""
+class TrunkGroup:
+    """Circuits of an own trunk group, or free agents of a pool, and the calls displaced by taking one."""
 
-    __slots__ = ("at", "busy", "free", "full", "legs", "ratios", "ratios_for", "size")
+    __slots__ = (
+        "displacement_ratios", "free", "full_share", "leg_failures", "mean_busy", "ratios_key", "size",
+        "updated_ns",
+    )  # fmt: skip
 
     def __init__(self) -> None:
-        self.free, self.size = math.inf, -1.0  # never told of: counts as free
-        self.busy = self.full = 0.0  # averages: circuits busy, share of time with none free
-        self.at = 0
-        self.ratios: list[float] = []
-        self.ratios_for = (-1.0, -1.0)
-        self.legs = Share(RATE_AGE_S)  # of all legs that end at that exchange
-
-    def told(self, now: int, free: float, size: float) -> None:
+        self.free, self.size = math.inf, -1.0  # counts as free until it is reported
+        self.mean_busy = self.full_share = 0.0  # averages: busy circuits, share of time with none free
+        self.updated_ns = 0
+        self.displacement_ratios: list[float] = []
+        self.ratios_key = (-1.0, -1.0)
+        self.leg_failures = DecayingAverage(TRAFFIC_DECAY_S)  # over all legs that end at the same exchange
+
+    def update(self, now: int, free: float, size: float) -> None:
         if self.size > 0:
-            keep = math.exp((self.at - now) / (RATE_AGE_S * SECOND))
-            self.busy = self.busy * keep + (self.size - self.free) * (1 - keep)
-            self.full = self.full * keep + (self.free < 1) * (1 - keep)
-        self.free, self.size, self.at = free, size, now
+            decay = math.exp((self.updated_ns - now) / (TRAFFIC_DECAY_S * SECOND_NS))
+            self.mean_busy = self.mean_busy * decay + (self.size - self.free) * (1 - decay)
+            self.full_share = self.full_share * decay + (self.free < 1) * (1 - decay)
+        self.free, self.size, self.updated_ns = free, size, now
 
-    def displaced(self, width: int) -> float:
-        """Calls displaced by taking ``width`` circuits now: Erlang B ratios, after Krishnan."""
+    def displaced_calls(self, width: int) -> float:
+        """Calls displaced by taking ``width`` circuits now: ratios of Erlang B blocking, after Krishnan."""
         size = int(self.size)
         if size < 1:
             return 0.0
-        offered = round(self.busy / max(0.5, 1.0 - self.full), 0)
-        if self.ratios_for != (size, offered):
+        offered = round(self.mean_busy / max(0.5, 1.0 - self.full_share), 0)
+        if self.ratios_key != (size, offered):
             blocking = [1.0]
             for n in range(1, size + 1):
                 blocking.append(offered * blocking[-1] / (n + offered * blocking[-1]))
             last = blocking[size]
-            self.ratios = [last / b if b > 0 else 0.0 for b in blocking]
-            self.ratios_for = (size, offered)
+            self.displacement_ratios = [last / b if b > 0 else 0.0 for b in blocking]
+            self.ratios_key = (size, offered)
         busy = min(size - 1, max(0, int(size - self.free)))
-        return sum(self.ratios[min(size - 1, busy + k)] for k in range(width))
+        return sum(self.displacement_ratios[min(size - 1, busy + k)] for k in range(width))
 
 
-class Office:
-    """What is known of one processor and the group toward it."""
+class EndpointEstimate:
+    """State and load estimates of one endpoint and the trunk group toward it."""
 
-    def __init__(self, entry: interface.ListEntry, group: Group, longest_aim_s: float) -> None:
+    def __init__(self, entry: interface.ListEntry, group: TrunkGroup, longest_target_s: float) -> None:
         self.entry = entry
-        self.longest_aim_s = longest_aim_s
+        self.longest_target_s = longest_target_s
         self.group = group
-        self.in_transit = Share()  # s, mean of what its controller adds to calls in transit
-        self.strays = Share()  # set-ups whose answer was lost or late, by those overtaken
-        self.failures = Share()  # refusals and time-outs of this processor
-        self.out: dict[str, int] = {}  # unanswered set-ups, oldest first, with the time each was sent
-        self.floor = 0.0  # s, set-up time of the idle processor
-        self.wait, self.wait_at = 0.0, 0  # s, above the floor
-        self.waits = Share()  # s, their mean: where a processor is seldom called, the last one says little
-        self.cold_until, self.cold_sends = 0, list[int]()
-        self.cut_by, self.cut_at = 0.0, 0  # share of set-ups that its report asks every sender to hold back
-
-    def answered(self, now: int, lag_s: float, at_most: bool) -> None:
-        """A set-up was answered after ``lag_s``; ``at_most`` where another processor shares the time."""
-        if at_most:
-            seen = min(self.expected(now) - self.floor, max(0.0, lag_s - self.floor))
+        self.transit_delay = DecayingAverage()  # s, that its controller adds to calls in transit
+        self.lost_answers = DecayingAverage()  # share of set-ups whose answer is lost or late
+        self.failures = DecayingAverage()  # share of refusals and timeouts
+        self.pending: dict[str, int] = {}  # unanswered set-ups with their send times, oldest first
+        self.idle_set_up_s = 0.0  # set-up time of the idle endpoint
+        self.wait_s, self.wait_at_ns = 0.0, 0  # last known wait, above the idle set-up time
+        # Mean wait (s): the last wait alone says little about an endpoint that seldom gets a call.
+        self.mean_wait = DecayingAverage()
+        self.slow_start_until, self.slow_start_sends = 0, list[int]()
+        # Share of set-ups that the endpoint asks every sender to hold back.
+        self.reduction, self.reduced_at_ns = 0.0, 0
+
+    def record_answer(self, now: int, latency_s: float, is_upper_bound: bool) -> None:
+        """Record a set-up answered after ``latency_s``.
+
+        ``is_upper_bound`` says that only a part of that time was spent at this endpoint.
+        """
+        if is_upper_bound:
+            wait_s = min(self.expected_s(now) - self.idle_set_up_s, max(0.0, latency_s - self.idle_set_up_s))
         else:
-            self.floor = min(lag_s, self.floor * 0.99 + lag_s * 0.01) if self.floor else lag_s
-            seen = lag_s - self.floor
-        self.wait, self.wait_at = max(0.0, seen), now - int(lag_s * SECOND)
-        self.waits.add(now, self.wait)
-
-    def failed(self, now: int, bad: float, told_wait_s: float = 0.0) -> None:
-        """It refused, or stayed silent: its wait is past the aims, however short the refusal took."""
-        self.failures.add(now, bad)
-        self.waits.add(now, self.longest_aim_s)
-        told = min(told_wait_s, SILENCE * self.longest_aim_s)
-        self.wait, self.wait_at = max(self.wait_left(now), self.longest_aim_s, told), now
-
-    def left_waiting(self, now: int, silent_s: float) -> None:
-        """A caller left before the answer: the wait is at least what it saw, no proof of a failure.
-
-        Guards against impatient callers closing healthy processors.  Harm: a hang shows a little later."""
-        silent_s = min(silent_s, self.held_up(now))
-        self.wait, self.wait_at = max(self.wait_left(now), silent_s - self.floor), now
-
-    def give_up_on_silent(self, now: int) -> None:
-        """Guards against a set-up lost in a hung or restarted processor keeping all others away (i4605d8).
-
-        It counts as failed after SILENCE aims, though its caller may wait on; then single trials follow, also
-        after a long jam.  Harm: where processors recover later, each trial costs one call its time.
+            self.idle_set_up_s = (
+                min(latency_s, self.idle_set_up_s * 0.99 + latency_s * 0.01)
+                if self.idle_set_up_s
+                else latency_s
+            )
+            wait_s = latency_s - self.idle_set_up_s
+        self.wait_s, self.wait_at_ns = max(0.0, wait_s), now - int(latency_s * SECOND_NS)
+        self.mean_wait.add(now, self.wait_s)
+
+    def record_failure(self, now: int, failure: float, reported_wait_s: float = 0.0) -> None:
+        """Record a refusal or a timeout: the wait exceeds the target times, however quick the refusal was."""
+        self.failures.add(now, failure)
+        self.mean_wait.add(now, self.longest_target_s)
+        reported = min(reported_wait_s, SILENCE_LIMIT * self.longest_target_s)
+        self.wait_s, self.wait_at_ns = max(self.remaining_wait_s(now), self.longest_target_s, reported), now
+
+    def record_abandonment(self, now: int, unanswered_s: float) -> None:
+        """Record a caller that left before the answer: the wait is at least that long, but it is no failure.
+
+        Guards against impatient callers taking healthy endpoints out of use.  Drawback: a hung endpoint is
+        noticed a little later.
+        """
+        unanswered_s = min(unanswered_s, self.proven_wait_s(now))
+        self.wait_s, self.wait_at_ns = max(self.remaining_wait_s(now), unanswered_s - self.idle_set_up_s), now
+
+    def expire_pending(self, now: int) -> None:
+        """Count set-ups that are unanswered for ``SILENCE_LIMIT`` target times as failed.
+
+        Guards against a set-up that is lost in a hung or restarted endpoint keeping all other calls away
+        while its caller waits on (incident i4605d8).  Single trials follow, also after a long overload.
+        Drawback: where endpoints recover later, each trial costs one call its time.
         """
-        while self.out:
-            name, sent_at = next(iter(self.out.items()))
-            if now - sent_at < SILENCE * self.longest_aim_s * SECOND:
+        while self.pending:
+            call_id, sent_at = next(iter(self.pending.items()))
+            if now - sent_at < SILENCE_LIMIT * self.longest_target_s * SECOND_NS:
                 return
-            del self.out[name]
-            self.failed(now, 1.0)
+            del self.pending[call_id]
+            self.record_failure(now, 1.0)
 
-    def accepts(self, now: int) -> float:
-        """Chance that it takes one more set-up: neither refused, nor lost, nor held back as it asked."""
-        held_back = self.cut_by * math.exp((self.cut_at - now) / (SHARE_AGE_S * SECOND))
+    def acceptance_probability(self, now: int) -> float:
+        """Probability that one more set-up is not refused, lost, or held back at the endpoint's request."""
+        held_back = self.reduction * math.exp((self.reduced_at_ns - now) / (OUTCOME_DECAY_S * SECOND_NS))
         return (1.0 - self.failures.value(now)) * (1.0 - held_back)
 
-    def wait_left(self, now: int) -> float:
-        return max(0.0, self.wait - DRAIN_PACE * (now - self.wait_at) / SECOND)
+    def remaining_wait_s(self, now: int) -> float:
+        return max(0.0, self.wait_s - QUEUE_DRAIN_RATE * (now - self.wait_at_ns) / SECOND_NS)
 
-    def expected_lately(self, now: int) -> float:
-        """On two-leg routes: a tandem is seldom called, and not idle as soon as its last wait has drained."""
-        stale = 1.0 - math.exp(DRAIN_PACE * (self.wait_at - now) / SECOND)
-        return max(self.expected(now), self.floor + stale * self.waits.value(now))
+    def expected_smoothed_s(self, now: int) -> float:
+        """Expected set-up time (s) on two-leg routes.
 
-    def held_up(self, now: int) -> float:
-        """How long (s) the unanswered set-ups prove that one waits.
+        Tandems seldom get a call, so one does not count as idle as soon as its last known wait has drained.
+        """
+        staleness = 1.0 - math.exp(QUEUE_DRAIN_RATE * (self.wait_at_ns - now) / SECOND_NS)
+        return max(self.expected_s(now), self.idle_set_up_s + staleness * self.mean_wait.value(now))
+
+    def proven_wait_s(self, now: int) -> float:
+        """Wait (s) that the unanswered set-ups prove.
 
-        The oldest proves it, unless answers get lost here: then as many must wait as are unlikely to be all
-        lost, or one for long.  Guards against a route that a lost answer shuts, so that nothing overtakes it.
+        The oldest one proves its own wait.  Where answers get lost, it takes as many unanswered set-ups as
+        are unlikely to be all lost, or one that is unanswered for long.  Guards against a lost answer closing
+        a route, so that no later set-up can overtake it.
         """
-        if not self.out:
+        if not self.pending:
             return 0.0
-        sent = list(self.out.values())
-        since, lost = sent[0], self.strays.value(now)
-        if lost > STRAY:
-            proof = 2 + int(math.log(UNLIKELY) / math.log(min(0.5, max(lost, UNLIKELY))))
-            late = since + int(DOUBT * self.longest_aim_s * SECOND)
-            since = min(late, sent[proof - 1] if len(sent) >= proof else now)
-            if lost > OFTEN_LOST and now - sent[-1] > TRIAL * self.longest_aim_s * SECOND:
-                return 0.0  # the latest has waited for a while too: one more is tried
-        return max(0.0, (now - since) / SECOND)
+        sent_times = list(self.pending.values())
+        since, loss_share = sent_times[0], self.lost_answers.value(now)
+        if loss_share > LOSS_SHARE_THRESHOLD:
+            needed = 2 + int(
+                math.log(ALL_LOST_PROBABILITY) / math.log(min(0.5, max(loss_share, ALL_LOST_PROBABILITY)))
+            )
+            lone_limit = since + int(LONE_PENDING_LIMIT * self.longest_target_s * SECOND_NS)
+            since = min(lone_limit, sent_times[needed - 1] if len(sent_times) >= needed else now)
+            if (
+                loss_share > FREQUENT_LOSS_SHARE
+                and now - sent_times[-1] > TRIAL_INTERVAL * self.longest_target_s * SECOND_NS
+            ):
+                return 0.0  # the latest set-up is unanswered for a while too: try one more
+        return max(0.0, (now - since) / SECOND_NS)
 
-    def expected(self, now: int) -> float:
-        """Set-up time (s) that one more set-up must expect; grows with the load that was put on it."""
-        self.give_up_on_silent(now)
-        wait = max(self.wait_left(now), self.held_up(now) - self.floor)
-        return (self.floor + wait) * (1.0 + OWN_SHARE_OF_QUEUE * len(self.out))
+    def expected_s(self, now: int) -> float:
+        """Expected set-up time (s) of one more set-up; grows with the unanswered ones."""
+        self.expire_pending(now)
+        wait_s = max(self.remaining_wait_s(now), self.proven_wait_s(now) - self.idle_set_up_s)
+        return (self.idle_set_up_s + wait_s) * (1.0 + WAIT_GROWTH_PER_PENDING * len(self.pending))
 
 
-def ends(one: int, other: int) -> tuple[int, int]:
-    return (one, other) if one < other else (other, one)
+def exchange_pair(first: int, second: int) -> tuple[int, int]:
+    return (first, second) if first < second else (second, first)
 
 
-class FarEnd(NamedTuple):
-    """What all two-leg routes of a call share: the last processor, and what is known of legs to it."""
+class SecondLeg(NamedTuple):
+    """What all two-leg routes of a call share: the last endpoint, and the legs toward it."""
 
-    good: float  # chance that it takes one more set-up
-    setup_s: float
-    price: float
-    best: float  # score that no tandem can beat
-    any_open: float  # chance that a far leg never heard of exists and has room
-    open_there: float  # how often legs to this exchange do, over that
+    acceptance: float  # probability that the last endpoint takes one more set-up
+    set_up_s: float
+    cost: float
+    max_score: float  # score that no tandem route can exceed
+    open_share: float  # probability that a leg without outcomes exists and has a free circuit
+    open_factor: float  # the same for legs toward this exchange, relative to open_share
 
 
 class Call:
-    """A call that is still owed its final answer, or stands, or has an attempt out."""
+    """A call that waits for its final answer, is established, or has an attempt under way."""
 
     __slots__ = (
-        "aim_at", "attempts", "first_at", "kind", "not_before", "o", "out", "ran_at", "ran_office", "stands",
-        "tried", "waits_at", "waits_until", "worth",
+        "attempts", "call_class", "established", "executed_endpoint", "executed_ns", "first_try_ns",
+        "not_before", "offer", "pending_endpoint", "queued_endpoint", "queued_until", "target_ns", "tried",
+        "worth",
     )  # fmt: skip
 
-    def __init__(self, offered: interface.CallOffered, kind: interface.CallClass, first_at: int) -> None:
-        self.o, self.kind, self.first_at = offered, kind, first_at
-        self.aim_at = first_at + min(
-            kind.deadline_ns, kind.aim_ns + int(kind.aim_work_factor * offered.expected_work_ns)
+    def __init__(
+        self, offer: interface.CallOffered, call_class: interface.CallClass, first_try_ns: int
+    ) -> None:
+        self.offer, self.call_class, self.first_try_ns = offer, call_class, first_try_ns
+        self.target_ns = first_try_ns + min(
+            call_class.deadline_ns,
+            call_class.aim_ns + int(call_class.aim_work_factor * offer.expected_work_ns),
         )
         self.attempts = 0
-        self.out = -1  # office of the attempt that is out
+        self.pending_endpoint = -1  # endpoint of the attempt under way
         self.tried: list[int] = []
-        self.ran_office, self.ran_at = -1, 0  # first attempt that may have run
+        self.executed_endpoint, self.executed_ns = -1, 0  # first attempt that may have set the call up
         self.not_before = 0
-        self.waits_at, self.waits_until = -1, 0  # office whose circuit it waits for
-        self.stands = False
-        self.worth = kind.worth
+        self.queued_endpoint, self.queued_until = -1, 0  # endpoint whose circuit the call waits for
+        self.established = False
+        self.worth = call_class.worth
 
 
 class Controller:
-    """One instance: it knows its settings and what its own events told it, and nothing else."""
+    """One controller instance: knows its settings and what its own events report, and nothing else."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
-        self.s = settings
+        self.settings = settings
         self.random = random.Random(seed)
         self.call_classes = {c.name: c for c in settings.classes}
         self.pools = {c.name: p for c, p in zip(settings.classes, settings.pools_by_class, strict=False)}
-        self.now = self.started = 0
-        self.paused, self.was_paused = 0.0, False  # s since the turn before this one; whether it counts
-        self.resumed_at = 0  # last turn after a pause that counts
-        self.acts: list[interface.Action] = []
+        self.now = self.started_ns = 0
+        # Time since the previous step, and whether it is long enough to distort latencies.
+        self.pause_s, self.after_pause = 0.0, False
+        self.resumed_ns = 0  # time of the last step after such a pause
+        self.actions: list[interface.Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
             interface.TrunkGroupReport: lambda e: self.read_report(
                 self.endpoints.get(e.endpoint_id), e.report
             ),
             interface.AttemptEnded: self.attempt_ended,
-            interface.CallEstablished: self.call_stands,
-            interface.TimerExpired: self.timer_due,
+            interface.CallEstablished: self.call_established,
+            interface.TimerExpired: self.timer_expired,
             interface.CallerGone: self.caller_gone,
-            interface.ExchangeListUpdate: self.list_news,
-            interface.PeerMessage: self.peer_note,
-            interface.PoolUpdate: self.pool_news,
+            interface.ExchangeListUpdate: self.list_updated,
+            interface.PeerMessage: self.peer_message_received,
+            interface.PoolUpdate: self.pool_updated,
         }
-        self.endpoints: dict[int, Office] = {}
-        self.trunk_groups: dict[int, Group] = {}  # by exchange, whichever processor stands there
-        self.in_service: dict[int, Office] = {}  # by exchange, the own one left out
+        self.endpoints: dict[int, EndpointEstimate] = {}
+        self.trunk_groups: dict[int, TrunkGroup] = {}  # by exchange, whichever endpoint serves it
+        self.in_service: dict[int, EndpointEstimate] = {}  # by exchange, without the own exchange
         self.calls: dict[str, Call] = {}
-        self.queued_calls: dict[int, list[str]] = {}  # calls held for a circuit, by office
-        self.far: dict[tuple[int, int], Leg] = {}  # by the exchanges at its ends, lower number first
-        self.circuits = 0.0  # of all own groups
-        self.notes: dict[int, tuple[int, int, int]] = {}  # by exchange: bits of its groups, with room, when
-        self.all_legs = Share(RATE_AGE_S)  # own pairs, and first trials of far legs
-        self.numbers: dict[int, Share] = {}  # busy lines, by number called
+        self.queued_calls: dict[int, list[str]] = {}  # ids of calls that wait for a circuit, by endpoint
+        self.remote_legs: dict[tuple[int, int], RemoteLeg] = {}  # by exchange pair, lower number first
+        self.total_circuits = 0.0  # over all own trunk groups
+        # By exchange: bit sets of its existing trunk groups and of those with free circuits, time received.
+        self.peer_reports: dict[int, tuple[int, int, int]] = {}
+        # Share of exchange pairs without a usable trunk group: own pairs, and first trials of remote legs.
+        self.all_leg_failures = DecayingAverage(TRAFFIC_DECAY_S)
+        self.busy_numbers: dict[int, DecayingAverage] = {}  # share of busy lines, by called number
         self.tenants = {t.name: t for t in settings.tenants}
-        self.tenant_calls: dict[str, Share] = {}  # own first tries
-        self.first_tries: dict[int, int] = {}  # first try of callers sent away, by number called
+        self.tenant_calls: dict[str, DecayingAverage] = {}  # rate of first tries at this controller
+        self.first_tries: dict[int, int] = {}  # time of the first try of rejected callers, by called number
         self.mean_worth = min(c.worth / c.width for c in settings.classes)
-        self.mean_holding: float = min(c.holding_ns for c in settings.classes)
-        self.tightest_aim = min(c.aim_ns for c in settings.classes) / SECOND
-        self.longest_aim = max(c.aim_ns for c in settings.classes) / SECOND
-        self.ask_pause, self.asked = SECOND, False
+        self.mean_holding_ns: float = min(c.holding_ns for c in settings.classes)
+        self.shortest_target_s = min(c.aim_ns for c in settings.classes) / SECOND_NS
+        self.longest_target_s = max(c.aim_ns for c in settings.classes) / SECOND_NS
+        self.list_retry_ns, self.list_requested = SECOND_NS, False
 
     def step(self, now: int, events: Iterable[interface.Event]) -> list[interface.Action]:
-        """Outcomes and news of a batch come before its new calls, and those by worth.
+        """Handle a batch of events and return the actions to carry out, in order.
 
-        Guards against a pause of the own controller, after which all that came meanwhile stands in one batch
-        and cheap calls would take the last circuits.  Harm: none seen; mostly a batch holds one call.
+        Offered calls are handled after all other events of the batch, those with the highest worth first.
+        After a pause of the controller, everything that arrived meanwhile is in one batch: this order keeps
+        calls of low worth from taking the last circuits.  Otherwise a batch mostly holds a single call.
         """
-        self.paused = (now - self.now) / SECOND if self.now else 0.0
-        self.started, self.now, self.acts = self.started or now, now, []
-        self.was_paused = self.paused > self.tightest_aim / REDIALS_IN_AIM  # lags may hold the pause
-        self.resumed_at = now if self.was_paused else self.resumed_at
-        offered: dict[str, interface.CallOffered] = {}
+        self.pause_s = (now - self.now) / SECOND_NS if self.now else 0.0
+        self.started_ns, self.now, self.actions = self.started_ns or now, now, []
+        self.after_pause = self.pause_s > self.shortest_target_s / REDIAL_DELAY_DIVISOR
+        self.resumed_ns = now if self.after_pause else self.resumed_ns
+        offers: dict[str, interface.CallOffered] = {}
         for event in events:
             if isinstance(event, interface.CallOffered):
-                offered[event.call_id] = event
+                offers[event.call_id] = event
                 continue
             if isinstance(event, interface.CallerGone):
-                offered.pop(event.call_id, None)
+                offers.pop(event.call_id, None)
             self.handlers[type(event)](event)
-        for call in sorted(offered.values(), key=lambda c: -self.kind_of(c).worth / c.width):
-            self.offered(call)
-        return self.acts
+        for offer in sorted(offers.values(), key=lambda o: -self.class_of(o).worth / o.width):
+            self.call_offered(offer)
+        return self.actions
 
-    def kind_of(self, offered: interface.CallOffered) -> interface.CallClass:
-        kind = self.call_classes.get(offered.class_name)  # an unknown class counts as the cheapest
-        return kind or min(self.s.classes, key=lambda c: c.worth)
+    def class_of(self, offer: interface.CallOffered) -> interface.CallClass:
+        call_class = self.call_classes.get(offer.class_name)  # an unknown class counts as that of least worth
+        return call_class or min(self.settings.classes, key=lambda c: c.worth)
 
     # --- Scoring ------------------------------------------------------------------------------------------
 
-    def best_route(self, call: Call) -> tuple[float, Office | None]:
-        """The best score above zero and the first office of its route; equal tandems are drawn.
+    def best_route(self, call: Call) -> tuple[float, EndpointEstimate | None]:
+        """Return the best score above zero and the first endpoint of its route.
 
-        Tandems are not looked at where even an idle one with all circuits free could not score more.
+        Ties between tandems are broken at random.  Tandems are skipped where even an idle one with all
+        circuits free could not score higher.
         """
-        destination = call.o.destination
-        meshed = self.s.layout == "meshed"
+        destination = call.offer.destination
+        meshed = self.settings.layout == "meshed"
         last = self.in_service.get(destination)
         if meshed and last is None:
             return 0.0, None
-        pools = () if meshed else self.pools.get(call.kind.name, ())
+        pools = () if meshed else self.pools.get(call.call_class.name, ())
         best_score, best = 0.0, None
         if last is not None and not (pools and destination not in pools):
             score = self.score(call, last, None, None)
             if score > 0.0 and self.may_send(call, last):
                 best_score, best = score, last
-        beyond = self.far_end(call, last) if meshed and last is not None else None
-        if call.o.in_transit or (beyond is not None and best_score >= beyond.best):
+        second_leg = self.second_leg(call, last) if meshed and last is not None else None
+        if call.offer.in_transit or (second_leg is not None and best_score >= second_leg.max_score):
             return best_score, best
-        for exchange, office in self.in_service.items():
-            if office is last or (pools and exchange not in pools):
+        for exchange, endpoint in self.in_service.items():
+            if endpoint is last or (pools and exchange not in pools):
                 continue
-            score = self.score(call, office, office, beyond)
+            score = self.score(call, endpoint, endpoint, second_leg)
             tie = score == best_score and best is not None and self.random.random() < 0.5
-            if (score > best_score or tie) and self.may_send(call, office):
-                best_score, best = score, office
+            if (score > best_score or tie) and self.may_send(call, endpoint):
+                best_score, best = score, endpoint
         return best_score, best
 
-    def in_time(self, call: Call, setup_s: float) -> float:
-        """Share of the worth that a set-up expected to take ``setup_s`` earns: in the aim, or late."""
-        ends = call.o.deadline_ns
-        left = [(until - self.now) / SECOND for until in (min(call.aim_at, ends), ends)]
-        aim, end = (1.0 / (1.0 + (setup_s / s) ** STEEPNESS) if s > 0 else 0.0 for s in left)
-        return aim + call.kind.late_share * (end - aim)
+    def earned_share(self, call: Call, set_up_s: float) -> float:
+        """Share of the worth that a set-up expected to take ``set_up_s`` earns, on target or late."""
+        deadline = call.offer.deadline_ns
+        left = [(until - self.now) / SECOND_NS for until in (min(call.target_ns, deadline), deadline)]
+        on_target, in_time = (
+            1.0 / (1.0 + (set_up_s / left_s) ** LATENESS_EXPONENT) if left_s > 0 else 0.0 for left_s in left
+        )
+        return on_target + call.call_class.late_share * (in_time - on_target)
+
+    def processor_cost(self, set_up_s: float) -> float:
+        """Worth displaced by one more set-up at an endpoint, as its work delays the calls behind it.
+
+        The set-up time of an idle endpoint counts too, as the cost of the work itself.
+        """
+        resends = (
+            math.log2(1.0 + set_up_s * SECOND_NS / self.settings.resend_ns)
+            if self.settings.resend_ns
+            else 0.0
+        )
+        return (
+            PROCESSOR_COST_FACTOR
+            * self.mean_worth
+            * set_up_s
+            / self.shortest_target_s
+            * (1.0 + 0.5 * resends)
+        )
 
-    def work_price(self, setup_s: float) -> float:
-        """Worth displaced by one more set-up at a processor: those behind it come later by its work.
+    def circuit_cost(self, call: Call, group: TrunkGroup) -> float:
+        return (
+            self.mean_worth
+            * group.displaced_calls(call.offer.width)
+            * call.call_class.holding_ns
+            / self.mean_holding_ns
+        )
 
-        An idle processor's own set-up time counts too, as the price of the work itself.
+    def second_leg(self, call: Call, last: EndpointEstimate) -> SecondLeg:
+        set_up_s = last.expected_smoothed_s(self.now)
+        acceptance, cost = last.acceptance_probability(self.now), self.processor_cost(set_up_s)
+        max_score = (
+            call.worth * acceptance * self.earned_share(call, set_up_s)
+            - cost
+            - TANDEM_PENALTY * self.mean_worth
+        )
+        open_share = 1.0 - self.all_leg_failures.value(self.now, 0.0)
+        open_factor = (1.0 - last.group.leg_failures.value(self.now, 1.0 - open_share)) / max(
+            open_share, 0.01
+        )
+        return SecondLeg(acceptance, set_up_s, cost, max_score, open_share, open_factor)
+
+    def leg_failure(self, tandem: EndpointEstimate, destination: int, second_leg: SecondLeg) -> float:
+        """Failure probability of the leg from a tandem to the destination.
+
+        Taken from a peer message of either end, else from the outcomes of calls.
         """
-        repeats = math.log2(1.0 + setup_s * SECOND / self.s.resend_ns) if self.s.resend_ns else 0.0
-        return PRESS * self.mean_worth * setup_s / self.tightest_aim * (1.0 + 0.5 * repeats)
-
-    def circuit_price(self, call: Call, group: Group) -> float:
-        return self.mean_worth * group.displaced(call.o.width) * call.kind.holding_ns / self.mean_holding
-
-    def far_end(self, call: Call, last: Office) -> FarEnd:
-        setup_s = last.expected_lately(self.now)
-        good, price = last.accepts(self.now), self.work_price(setup_s)
-        best = call.worth * good * self.in_time(call, setup_s) - price - HANDICAP * self.mean_worth
-        any_open = 1.0 - self.all_legs.value(self.now, 0.0)
-        there = (1.0 - last.group.legs.value(self.now, 1.0 - any_open)) / max(any_open, 0.01)
-        return FarEnd(good, setup_s, price, best, any_open, there)
-
-    def far_fails(self, tandem: Office, destination: int, beyond: FarEnd) -> float:
-        """Failure probability of the leg from a tandem to the destination: by a note, else by outcomes."""
         exchange = tandem.entry.exchange
-        leg = self.far.get(ends(exchange, destination))
-        note, other = self.notes.get(exchange), destination
-        if note is None:
-            note, other = self.notes.get(destination), exchange
-        if note is None:
-            open_here = 1.0 - tandem.group.legs.value(self.now, 1.0 - beyond.any_open)
-            untried = 1.0 - min(1.0, open_here * beyond.open_there)
-            return leg.fails(self.now, untried) if leg else untried
-        there, room, told_at = note
-        if not there >> other & 1:
+        leg = self.remote_legs.get(exchange_pair(exchange, destination))
+        report, other = self.peer_reports.get(exchange), destination
+        if report is None:
+            report, other = self.peer_reports.get(destination), exchange
+        if report is None:
+            open_share = 1.0 - tandem.group.leg_failures.value(self.now, 1.0 - second_leg.open_share)
+            untried = 1.0 - min(1.0, open_share * second_leg.open_factor)
+            return leg.failure_share(self.now, untried) if leg else untried
+        existing, available, received_ns = report
+        if not existing >> other & 1:
             return 1.0
-        full = 0.0 if room >> other & 1 else math.exp((told_at - self.now) / (SHARE_AGE_S * SECOND))
+        full = (
+            0.0
+            if available >> other & 1
+            else math.exp((received_ns - self.now) / (OUTCOME_DECAY_S * SECOND_NS))
+        )
         return max(full, leg.value(self.now)) if leg else full
 
-    def score(self, call: Call, first: Office, tandem: Office | None, beyond: FarEnd | None) -> float:
+    def score(
+        self,
+        call: Call,
+        first: EndpointEstimate,
+        tandem: EndpointEstimate | None,
+        second_leg: SecondLeg | None,
+    ) -> float:
+        """Score of the route whose first endpoint is ``first``; negative where its trunk group is full."""
         group = first.group
-        if group.free < call.o.width:
+        if group.free < call.offer.width:
             return -1.0
-        setup_s = first.expected(self.now) if tandem is None else first.expected_lately(self.now)
-        good = first.accepts(self.now)
+        set_up_s = first.expected_s(self.now) if tandem is None else first.expected_smoothed_s(self.now)
+        acceptance = first.acceptance_probability(self.now)
         legs = 1.0
-        cost = self.work_price(setup_s) + (HANDICAP * self.mean_worth if tandem is not None else 0.0)
-        if tandem is not None and beyond is not None:
-            legs = LEGS
-            far = self.far_fails(tandem, call.o.destination, beyond)
-            good *= beyond.good * (1.0 - far)
-            setup_s += beyond.setup_s + tandem.in_transit.value(self.now)
-            cost += (1.0 - far) * beyond.price
-        busy_lines = self.numbers.get(call.o.number)
+        cost = self.processor_cost(set_up_s) + (
+            TANDEM_PENALTY * self.mean_worth if tandem is not None else 0.0
+        )
+        if tandem is not None and second_leg is not None:
+            legs = TWO_LEG_CIRCUIT_FACTOR
+            leg_failure = self.leg_failure(tandem, call.offer.destination, second_leg)
+            acceptance *= second_leg.acceptance * (1.0 - leg_failure)
+            set_up_s += second_leg.set_up_s + tandem.transit_delay.value(self.now)
+            cost += (1.0 - leg_failure) * second_leg.cost
+        busy_lines = self.busy_numbers.get(call.offer.number)
         if busy_lines is not None:
-            good *= 1.0 - busy_lines.value(self.now)
-        cost += legs * self.circuit_price(call, group)
-        return call.worth * good * self.in_time(call, setup_s) - cost
-
-    def wait_score(self, call: Call, office: Office) -> float:
-        """Waiting for a circuit as a route: the paper's queue with abandonment."""
-        until = min(call.aim_at, call.o.deadline_ns)
-        left = (until - self.now) / SECOND * HOLD_SHARE
-        group = office.group
-        if left <= 0 or group.size < call.o.width:
+            acceptance *= 1.0 - busy_lines.value(self.now)
+        cost += legs * self.circuit_cost(call, group)
+        return call.worth * acceptance * self.earned_share(call, set_up_s) - cost
+
+    def queue_score(self, call: Call, endpoint: EndpointEstimate) -> float:
+        """Score of waiting for a free circuit, as the cited paper's queue with abandonment."""
+        until = min(call.target_ns, call.offer.deadline_ns)
+        left_s = (until - self.now) / SECOND_NS * QUEUE_TIME_SHARE
+        group = endpoint.group
+        if left_s <= 0 or group.size < call.offer.width:
             return -1.0
-        freed = (group.size - group.free) / (call.kind.holding_ns / SECOND) / 2  # a second; half for this end
+        # Circuits freed per second; half of them are taken by the exchange at the other end.
+        freed_per_s = (group.size - group.free) / (call.call_class.holding_ns / SECOND_NS) / 2
         ahead = sum(
             1
-            for c in self.queued_calls.get(office.entry.endpoint_id, ())
-            if self.calls[c].worth >= call.worth
+            for call_id in self.queued_calls.get(endpoint.entry.endpoint_id, ())
+            if self.calls[call_id].worth >= call.worth
+        )
+        needed = max(call.offer.width, call.offer.width + ahead - group.free)
+        acceptance = endpoint.acceptance_probability(self.now) * math.exp(
+            -needed / max(0.01, freed_per_s * left_s)
         )
-        need = max(call.o.width, call.o.width + ahead - group.free)
-        good = office.accepts(self.now) * math.exp(-need / max(0.01, freed * left))
-        cost = self.work_price(office.expected(self.now)) + self.circuit_price(call, group)
-        return call.worth * good * self.in_time(call, office.expected(self.now)) - cost
-
-    # --- Call life ----------------------------------------------------------------------------------------
-
-    def offered(self, event: interface.CallOffered) -> None:
-        kind = self.kind_of(event)
-        call = Call(event, kind, self.first_try(event, kind))
-        call.worth = kind.worth * self.within_share(call)
-        self.mean_holding += 0.02 * (kind.holding_ns - self.mean_holding)
+        cost = self.processor_cost(endpoint.expected_s(self.now)) + self.circuit_cost(call, group)
+        return call.worth * acceptance * self.earned_share(call, endpoint.expected_s(self.now)) - cost
+
+    # --- Life cycle of a call -----------------------------------------------------------------------------
+
+    def call_offered(self, event: interface.CallOffered) -> None:
+        call_class = self.class_of(event)
+        call = Call(event, call_class, self.first_try_time(event, call_class))
+        call.worth = call_class.worth * self.tenant_share(call)
+        self.mean_holding_ns += 0.02 * (call_class.holding_ns - self.mean_holding_ns)
         self.mean_worth += 0.02 * (call.worth / event.width - self.mean_worth)
         self.calls[event.call_id] = call
-        if (
-            event.in_transit and {event.via_exchange, event.destination} <= self.trunk_groups.keys()
-        ):  # no direct way there
-            self.leg(event.via_exchange, event.destination).add(self.now, 1.0)
+        if event.in_transit and {event.via_exchange, event.destination} <= self.trunk_groups.keys():
+            # The forwarding exchange has no usable direct route to the destination.
+            self.remote_leg(event.via_exchange, event.destination).add(self.now, 1.0)
         self.decide(call)
 
-    def first_try(self, event: interface.CallOffered, kind: interface.CallClass) -> int:
-        """When the caller first tried: the aim runs from there, so a late redial earns only the late share.
+    def first_try_time(self, event: interface.CallOffered, call_class: interface.CallClass) -> int:
+        """Return when the caller first tried; the target time runs from there.
 
-        Known by the number called of tries sent away; a call that was cut starts anew.
+        A redial past the target thus earns the late share only.  First tries are remembered by called number;
+        a caller whose established call was cut starts again.
         """
-        if event.in_transit or event.replaces_cut_call or not (event.redialled or not self.s.redials_marked):
+        if (
+            event.in_transit
+            or event.replaces_cut_call
+            or not (event.redialled or not self.settings.redials_marked)
+        ):
             return self.now
         first = self.first_tries.pop(event.number, self.now)
-        return first if self.now - first < kind.deadline_ns else self.now
+        return first if self.now - first < call_class.deadline_ns else self.now
 
-    def within_share(self, call: Call) -> float:
-        """Share of the worth that a call of this tenant may expect, given what the tenant asks for.
+    def tenant_share(self, call: Call) -> float:
+        """Return the share of the worth that counts for a call, given the demand of its tenant.
 
-        Guards against a tenant beyond its share crowding out the others; own first tries stand for those of
-        all exchanges.  Harm: an exchange with more of a tenant's calls than the others have is too strict.
+        Guards against a tenant beyond its quota crowding out the others.  The demand over all exchanges is
+        extrapolated from the first tries at this controller.  Drawback: too strict at an exchange that gets
+        more of a tenant's calls than the others.
         """
-        tenant = self.tenants.get(call.o.tenant)
-        if tenant is None or tenant.quota_per_s <= 0 or call.o.in_transit:
+        tenant = self.tenants.get(call.offer.tenant)
+        if tenant is None or tenant.quota_per_s <= 0 or call.offer.in_transit:
             return 1.0
-        calls = self.tenant_calls.setdefault(tenant.name, Share(RATE_AGE_S))
-        if not call.o.redialled:
+        calls = self.tenant_calls.setdefault(tenant.name, DecayingAverage(TRAFFIC_DECAY_S))
+        if not call.offer.redialled:
             calls.add(self.now, 0.0)
-        seen_for = 1.0 - math.exp((self.started - self.now) / (RATE_AGE_S * SECOND))
-        asked = calls.seen / RATE_AGE_S / max(0.1, seen_for) * self.s.controllers
-        inside = min(1.0, tenant.quota_per_s / asked) if asked > 0 else 1.0
-        return inside + (1.0 - inside) * self.s.over_share_worth
+        observed_share = 1.0 - math.exp((self.started_ns - self.now) / (TRAFFIC_DECAY_S * SECOND_NS))
+        demand = calls.weight / TRAFFIC_DECAY_S / max(0.1, observed_share) * self.settings.controllers
+        inside = min(1.0, tenant.quota_per_s / demand) if demand > 0 else 1.0
+        return inside + (1.0 - inside) * self.settings.over_share_worth
 
     def decide(self, call: Call, may_wait: bool = True) -> None:
-        """Send on the best route; else hold for a circuit; else give the final answer."""
+        """Send the call on the best route, or queue it for a circuit, or reject it."""
         if self.now < call.not_before:
             return
         best_score, best = 0.0, None
-        if call.attempts < self.s.max_attempts and self.now < call.o.deadline_ns:
+        if call.attempts < self.settings.max_attempts and self.now < call.offer.deadline_ns:
             best_score, best = self.best_route(call)
-            direct = self.in_service.get(call.o.destination)
+            direct = self.in_service.get(call.offer.destination)
             if direct is not None and not self.in_pools(call, direct):
                 direct = None
-            if may_wait and not call.o.in_transit and call.waits_until == 0 and direct is not None:
+            if may_wait and not call.offer.in_transit and call.queued_until == 0 and direct is not None:
                 untried = best is not direct and direct.entry.endpoint_id not in call.tried
-                if untried and self.wait_score(call, direct) > best_score:
-                    self.hold(call, direct)
+                if untried and self.queue_score(call, direct) > best_score:
+                    self.enqueue(call, direct)
                     return
         if best is None:
-            self.answer_no(call)
+            self.reject(call)
         else:
             self.send(call, best)
 
-    def send(self, call: Call, office: Office) -> None:
-        number = office.entry.endpoint_id
+    def send(self, call: Call, endpoint: EndpointEstimate) -> None:
+        endpoint_id = endpoint.entry.endpoint_id
         call.attempts += 1
-        call.out = number
-        call.tried.append(number)
-        office.out[call.o.call_id] = self.now
-        office.group.free -= call.o.width
-        if self.now < office.cold_until:
-            office.cold_sends.append(self.now)
-        self.acts.append(interface.SendSetUp(call.o.call_id, number, 0))
-
-    def hold(self, call: Call, office: Office) -> None:
-        left = min(call.aim_at, call.o.deadline_ns) - self.now
-        call.waits_until = self.now + int(left * HOLD_SHARE)
-        call.waits_at = office.entry.endpoint_id
-        self.queued_calls.setdefault(call.waits_at, []).append(call.o.call_id)
-        self.acts.append(interface.SetTimer(call.waits_until - self.now, call.o.call_id))
-
-    def serve_waiting(self, office: Office) -> None:
-        """Circuits have come free: most worth first, then in order of arrival."""
-        queue = self.queued_calls.get(office.entry.endpoint_id, [])
-        queue.sort(key=lambda c: -self.calls[c].worth / self.calls[c].o.width)
-        for name in list(queue):
-            call = self.calls[name]
-            if office.group.free < 1:
+        call.pending_endpoint = endpoint_id
+        call.tried.append(endpoint_id)
+        endpoint.pending[call.offer.call_id] = self.now
+        endpoint.group.free -= call.offer.width
+        if self.now < endpoint.slow_start_until:
+            endpoint.slow_start_sends.append(self.now)
+        self.actions.append(interface.SendSetUp(call.offer.call_id, endpoint_id, 0))
+
+    def enqueue(self, call: Call, endpoint: EndpointEstimate) -> None:
+        left = min(call.target_ns, call.offer.deadline_ns) - self.now
+        call.queued_until = self.now + int(left * QUEUE_TIME_SHARE)
+        call.queued_endpoint = endpoint.entry.endpoint_id
+        self.queued_calls.setdefault(call.queued_endpoint, []).append(call.offer.call_id)
+        self.actions.append(interface.SetTimer(call.queued_until - self.now, call.offer.call_id))
+
+    def serve_queue(self, endpoint: EndpointEstimate) -> None:
+        """Send queued calls on circuits that are free, by worth, then in order of arrival."""
+        queue = self.queued_calls.get(endpoint.entry.endpoint_id, [])
+        queue.sort(key=lambda call_id: -self.calls[call_id].worth / self.calls[call_id].offer.width)
+        for call_id in list(queue):
+            call = self.calls[call_id]
+            if endpoint.group.free < 1:
                 break
-            if self.may_send(call, office) and self.score(call, office, None, None) > 0.0:
-                self.stop_waiting(call)
-                self.send(call, office)
-
-    def stop_waiting(self, call: Call) -> None:
-        if call.waits_at >= 0:
-            self.queued_calls[call.waits_at].remove(call.o.call_id)
-            call.waits_at = -1
-
-    def answer_no(self, call: Call) -> None:
-        """The final answer: refused, or given up where a refusal would claim that nothing ran."""
-        bound = call.kind.repeat == "single_shot" or call.kind.repeat_scope != "all"
-        if call.ran_office >= 0 and call.kind.repeat != "free" and bound:
-            self.acts.append(interface.FailCall(call.o.call_id))
+            if self.may_send(call, endpoint) and self.score(call, endpoint, None, None) > 0.0:
+                self.dequeue(call)
+                self.send(call, endpoint)
+
+    def dequeue(self, call: Call) -> None:
+        if call.queued_endpoint >= 0:
+            self.queued_calls[call.queued_endpoint].remove(call.offer.call_id)
+            call.queued_endpoint = -1
+
+    def reject(self, call: Call) -> None:
+        """Give the final answer: failed where a refusal would claim that no attempt was executed."""
+        restricted = call.call_class.repeat == "single_shot" or call.call_class.repeat_scope != "all"
+        if call.executed_endpoint >= 0 and call.call_class.repeat != "free" and restricted:
+            self.actions.append(interface.FailCall(call.offer.call_id))
         else:
-            advice = call.kind.aim_ns // REDIALS_IN_AIM if self.s.may_send_retry_after else 0
-            self.acts.append(interface.RefuseCall(call.o.call_id, 0 if call.o.in_transit else advice))
+            retry_after = (
+                call.call_class.aim_ns // REDIAL_DELAY_DIVISOR if self.settings.may_send_retry_after else 0
+            )
+            self.actions.append(
+                interface.RefuseCall(call.offer.call_id, 0 if call.offer.in_transit else retry_after)
+            )
         self.forget(call)
 
     def forget(self, call: Call) -> None:
-        if not (call.stands or call.o.in_transit):
-            self.first_tries.pop(call.o.number, None)
+        if not (call.established or call.offer.in_transit):
+            self.first_tries.pop(call.offer.number, None)
             if len(self.first_tries) >= MAX_NUMBERS:
                 del self.first_tries[next(iter(self.first_tries))]
-            self.first_tries[call.o.number] = call.first_at
-        self.stop_waiting(call)
-        self.calls.pop(call.o.call_id, None)
-
-    def call_stands(self, event: interface.CallEstablished) -> None:
-        office, call = self.endpoints.get(event.endpoint_id), self.calls.get(event.call_id)
-        sent_at, lag_s = office.out.pop(event.call_id, None) if office else None, event.latency_ns / SECOND
-        if office is not None and sent_at is not None:
+            self.first_tries[call.offer.number] = call.first_try_ns
+        self.dequeue(call)
+        self.calls.pop(call.offer.call_id, None)
+
+    def call_established(self, event: interface.CallEstablished) -> None:
+        endpoint, call = self.endpoints.get(event.endpoint_id), self.calls.get(event.call_id)
+        sent_at, latency_s = (
+            endpoint.pending.pop(event.call_id, None) if endpoint else None,
+            event.latency_ns / SECOND_NS,
+        )
+        if endpoint is not None and sent_at is not None:
             via = False
             if call is not None:
-                via = office.entry.exchange != call.o.destination
-                if via and self.s.layout == "meshed" and call.o.destination in self.in_service:
-                    last = self.in_service[call.o.destination]
-                    self.tried_leg(office.entry.exchange, call.o.destination, 0.0)
-                    self.transit_took(office, lag_s - last.expected(self.now))
-                    last.answered(self.now, lag_s, True)
-                if call.o.number in self.numbers:
-                    self.numbers[call.o.number].add(self.now, 0.0)
-            self.overtaken(office, sent_at)
-            office.failures.add(self.now, 0.0)
-            office.answered(self.now, lag_s, via or self.was_paused or sent_at == self.resumed_at)
-            office.strays.add(self.now, 0.0)
+                via = endpoint.entry.exchange != call.offer.destination
+                if via and self.settings.layout == "meshed" and call.offer.destination in self.in_service:
+                    last = self.in_service[call.offer.destination]
+                    self.record_leg(endpoint.entry.exchange, call.offer.destination, 0.0)
+                    self.record_transit_delay(endpoint, latency_s - last.expected_s(self.now))
+                    last.record_answer(self.now, latency_s, True)
+                if call.offer.number in self.busy_numbers:
+                    self.busy_numbers[call.offer.number].add(self.now, 0.0)
+            self.drop_overtaken(endpoint, sent_at)
+            endpoint.failures.add(self.now, 0.0)
+            endpoint.record_answer(self.now, latency_s, via or self.after_pause or sent_at == self.resumed_ns)
+            endpoint.lost_answers.add(self.now, 0.0)
         if call is not None:
-            call.stands = True
+            call.established = True
 
-    def overtaken(self, office: Office, sent_at: int) -> None:
-        """What was sent before a set-up that is answered now waits in no line: a processor has one line.
+    def drop_overtaken(self, endpoint: EndpointEstimate, sent_at: int) -> None:
+        """Count set-ups sent before one that is answered now as lost: an endpoint has a single queue.
 
-        Guards against one lost or late answer counting as the wait of a processor that answers all others.
-        A set-up over a tandem is left out: its answer has further to come.
+        Guards against one lost or late answer counting as the wait at an endpoint that answers all others.
+        Set-ups over a tandem are left out, as their answers take longer.
         """
-        for name, at in list(office.out.items()):
-            call = self.calls.get(name)
-            if at > sent_at - int(office.floor * SECOND):  # closer ones may swap places on the way
+        for call_id, at in list(endpoint.pending.items()):
+            call = self.calls.get(call_id)
+            if at > sent_at - int(endpoint.idle_set_up_s * SECOND_NS):  # sent too closely: may be reordered
                 break
-            if call is None or call.o.destination == office.entry.exchange or self.s.layout != "meshed":
-                del office.out[name]
-                office.strays.add(self.now, 1.0)
-                if call is not None and self.s.may_cancel and call.kind.repeat == "free":
-                    wait = int(LOST_AFTER * call.kind.aim_ns) - (self.now - at)
-                    self.acts.append(interface.SetTimer(max(1, wait), f"{LOST} {call.attempts} {name}"))
-
-    def try_again(self, name: str, attempts: int) -> None:
-        """Its answer is lost, as later ones came: cancelled, the call may go again, the same way too."""
-        call = self.calls.get(name)
-        if call is None or call.stands or call.out < 0 or call.attempts != attempts:
+            if (
+                call is None
+                or call.offer.destination == endpoint.entry.exchange
+                or self.settings.layout != "meshed"
+            ):
+                del endpoint.pending[call_id]
+                endpoint.lost_answers.add(self.now, 1.0)
+                if call is not None and self.settings.may_cancel and call.call_class.repeat == "free":
+                    delay = int(CANCEL_DELAY * call.call_class.aim_ns) - (self.now - at)
+                    self.actions.append(
+                        interface.SetTimer(max(1, delay), f"{CANCEL_TIMER_PREFIX} {call.attempts} {call_id}")
+                    )
+
+    def cancel_lost_attempt(self, call_id: str, attempts: int) -> None:
+        """Cancel an attempt whose answer is lost; the call may be sent again, also on the same route."""
+        call = self.calls.get(call_id)
+        if call is None or call.established or call.pending_endpoint < 0 or call.attempts != attempts:
             return
-        if attempts < self.s.max_attempts and self.now + self.s.release_ns < call.o.deadline_ns:
-            call.tried.remove(call.out)
-            self.acts.append(interface.CancelSetUp(name, attempts - 1))
+        if (
+            attempts < self.settings.max_attempts
+            and self.now + self.settings.release_ns < call.offer.deadline_ns
+        ):
+            call.tried.remove(call.pending_endpoint)
+            self.actions.append(interface.CancelSetUp(call_id, attempts - 1))
 
-    def transit_took(self, tandem: Office, lag_s: float) -> None:
-        """What a tandem's controller adds to the set-up time: it may stand still while its processor runs."""
-        if not self.was_paused:
-            tandem.in_transit.add(self.now, max(0.0, lag_s - tandem.expected(self.now)))
+    def record_transit_delay(self, tandem: EndpointEstimate, latency_s: float) -> None:
+        """Record the delay added by a tandem's controller, which may stall while its processor runs."""
+        if not self.after_pause:
+            tandem.transit_delay.add(self.now, max(0.0, latency_s - tandem.expected_s(self.now)))
 
     def attempt_ended(self, event: interface.AttemptEnded) -> None:
-        office, call = self.endpoints.get(event.endpoint_id), self.calls.get(event.call_id)
-        if office is not None:
-            self.read_report(office, event.report)
-            unanswered = office.out.pop(event.call_id, None) is not None
-            if call is not None and call.out == event.endpoint_id:
-                self.learn(office, call, event, unanswered)
-        if call is None or call.out != event.endpoint_id or call.attempts != event.attempt + 1:
+        endpoint, call = self.endpoints.get(event.endpoint_id), self.calls.get(event.call_id)
+        if endpoint is not None:
+            self.read_report(endpoint, event.report)
+            unanswered = endpoint.pending.pop(event.call_id, None) is not None
+            if call is not None and call.pending_endpoint == event.endpoint_id:
+                self.record_failed_attempt(endpoint, call, event, unanswered)
+        if call is None or call.pending_endpoint != event.endpoint_id or call.attempts != event.attempt + 1:
             return
-        call.out = -1
+        call.pending_endpoint = -1
         if event.call_ended:
             self.forget(call)
             return
-        fault = event.outcome == "server_error" and event.cause != BUSY_LINES
+        fault = event.outcome == "server_error" and event.cause != CAUSE_USER_BUSY
         if (fault or event.cause == interface.CAUSE_CONNECTION_FAILED) and event.endpoint_id in call.tried:
-            # The route is as good as before.  Guards calls against an exchange that fails a share of its
-            # set-ups, each for itself.  Harm: one that fails all of them costs more work.
+            # The failure says nothing about the route, so the call may try it again.  Guards calls against an
+            # exchange where each set-up fails with some probability.  Drawback: one where all fail costs more
+            # work.
             call.tried.remove(event.endpoint_id)
-        if event.outcome in MAY_HAVE_RUN and call.ran_office < 0:
-            call.ran_office, call.ran_at = event.endpoint_id, self.now - event.latency_ns
-        if self.now >= call.o.deadline_ns:
-            self.acts.append(interface.FailCall(call.o.call_id))
+        if event.outcome in POSSIBLY_EXECUTED_OUTCOMES and call.executed_endpoint < 0:
+            call.executed_endpoint, call.executed_ns = event.endpoint_id, self.now - event.latency_ns
+        if self.now >= call.offer.deadline_ns:
+            self.actions.append(interface.FailCall(call.offer.call_id))
             self.forget(call)
-        elif (event.outcome, event.cause) in (("server_error", BUSY_LINES), ("not_sent", 3)):
-            self.answer_no(call)  # the lines are busy, or the own processor is down, by every route
-        elif event.outcome in RELEASE_AWAITED_OUTCOMES and self.s.release_ns:
-            call.not_before = self.now + self.s.release_ns
-            if call.not_before >= call.o.deadline_ns:
-                self.answer_no(call)
+        elif (event.outcome, event.cause) in (("server_error", CAUSE_USER_BUSY), ("not_sent", 3)):
+            self.reject(call)  # the called lines are busy, or the own processor is down: so on every route
+        elif event.outcome in RELEASE_AWAITED_OUTCOMES and self.settings.release_ns:
+            call.not_before = self.now + self.settings.release_ns
+            if call.not_before >= call.offer.deadline_ns:
+                self.reject(call)
             else:
-                self.acts.append(interface.SetTimer(self.s.release_ns, call.o.call_id))
+                self.actions.append(interface.SetTimer(self.settings.release_ns, call.offer.call_id))
         else:
             self.decide(call)
 
-    def learn(self, office: Office, call: Call, event: interface.AttemptEnded, unanswered: bool) -> None:
-        """Book a failed attempt to the processor, the far leg or the number that failed it."""
-        via = office.entry.exchange != call.o.destination and self.s.layout == "meshed"
+    def record_failed_attempt(
+        self, endpoint: EndpointEstimate, call: Call, event: interface.AttemptEnded, unanswered: bool
+    ) -> None:
+        """Attribute a failed attempt to the endpoint, the remote leg or the called number."""
+        via = endpoint.entry.exchange != call.offer.destination and self.settings.layout == "meshed"
         if event.cause == interface.CAUSE_CONNECTION_FAILED:
-            return  # guards against healthy processors being shunned for their connections' faults
-        if event.cause == 1:  # no circuit or agent, also where no size was ever told
-            office.group.free = min(office.group.free, call.o.width - 1)
+            return  # guards against avoiding healthy endpoints because of faults of their connections
+        if event.cause == 1:  # no free circuit or agent, also where no group size is reported
+            endpoint.group.free = min(endpoint.group.free, call.offer.width - 1)
         elif event.outcome == "turned_away":
-            if event.cause % 16 == 2:
-                office.failures.add(self.now, 0.0)
-                self.tried_leg(office.entry.exchange, call.o.destination, 1.0)
-                self.transit_took(office, event.latency_ns / SECOND)
-                last = self.in_service.get(call.o.destination)
+            if event.cause % 16 == 2:  # refused by the tandem, or (18) by the destination behind it
+                endpoint.failures.add(self.now, 0.0)
+                self.record_leg(endpoint.entry.exchange, call.offer.destination, 1.0)
+                self.record_transit_delay(endpoint, event.latency_ns / SECOND_NS)
+                last = self.in_service.get(call.offer.destination)
                 if event.cause == 18 and last is not None:
                     last.failures.add(self.now, 1.0)
-            elif event.cause % 16 == 3:
-                office.failed(self.now, 1.0, event.cause // 16 / 1000.0)
+            elif event.cause % 16 == 3:  # processor full; the higher bits carry its wait in milliseconds
+                endpoint.record_failure(self.now, 1.0, event.cause // 16 / 1000.0)
         elif unanswered and event.outcome in ("no_answer", "no_connection", "connection_lost"):
-            office.failed(self.now, 0.5 if via else 1.0)
-        elif event.outcome == "server_error" and event.cause == BUSY_LINES:
-            if call.o.number not in self.numbers and len(self.numbers) >= MAX_NUMBERS:
-                del self.numbers[next(iter(self.numbers))]
-            self.numbers.setdefault(call.o.number, Share()).add(self.now, 1.0)
+            endpoint.record_failure(self.now, 0.5 if via else 1.0)
+        elif event.outcome == "server_error" and event.cause == CAUSE_USER_BUSY:
+            if call.offer.number not in self.busy_numbers and len(self.busy_numbers) >= MAX_NUMBERS:
+                del self.busy_numbers[next(iter(self.busy_numbers))]
+            self.busy_numbers.setdefault(call.offer.number, DecayingAverage()).add(self.now, 1.0)
 
     def caller_gone(self, event: interface.CallerGone) -> None:
         call = self.calls.get(event.call_id)
         if call is None:
             return
-        office = self.endpoints.get(call.out)
-        if office is not None and event.call_id in office.out:
-            office.left_waiting(self.now, (self.now - office.out[event.call_id]) / SECOND - self.paused)
-            del office.out[event.call_id]
+        endpoint = self.endpoints.get(call.pending_endpoint)
+        if endpoint is not None and event.call_id in endpoint.pending:
+            endpoint.record_abandonment(
+                self.now, (self.now - endpoint.pending[event.call_id]) / SECOND_NS - self.pause_s
+            )
+            del endpoint.pending[event.call_id]
         self.forget(call)
 
-    def timer_due(self, event: interface.TimerExpired) -> None:
+    def timer_expired(self, event: interface.TimerExpired) -> None:
         if event.timer_id in ("list", "note"):
-            return self.ask_list() if event.timer_id == "list" else self.tell_peers()
-        if event.timer_id.startswith(LOST):
-            _, attempts, name = event.timer_id.split(" ", 2)
-            return self.try_again(name, int(attempts))
+            return self.watch_list() if event.timer_id == "list" else self.message_peers()
+        if event.timer_id.startswith(CANCEL_TIMER_PREFIX):
+            _, attempts, call_id = event.timer_id.split(" ", 2)
+            return self.cancel_lost_attempt(call_id, int(attempts))
         call = self.calls.get(event.timer_id)
-        if call is not None and call.out < 0 and not call.stands and self.now >= call.not_before:
-            self.stop_waiting(call)
+        if (
+            call is not None
+            and call.pending_endpoint < 0
+            and not call.established
+            and self.now >= call.not_before
+        ):
+            self.dequeue(call)
             self.decide(call, may_wait=False)
 
-    # --- Reports and the exchange list ----------------------------------------------------------------
+    # --- Reports and the exchange list --------------------------------------------------------------------
 
-    def read_report(self, office: Office | None, report: interface.LoadReport | None) -> None:
-        """Own circuits are true at that time; far figures sharpen the estimate where they are told."""
-        if office is None or report is None:
+    def read_report(self, endpoint: EndpointEstimate | None, report: interface.LoadReport | None) -> None:
+        """Take over the free circuits of the own trunk group and the metrics that the endpoint reports."""
+        if endpoint is None or report is None:
             return
         for name, value in report.metrics:
             if name == "cut_by" and 0.0 <= value <= 1.0:
-                office.cut_by, office.cut_at = value, self.now
-            if (
-                name == "svc_ms" and value >= 0
-            ):  # a crashed processor may report days: past the aims is enough
-                office.wait, office.wait_at = min(value / 1000.0, SILENCE * self.longest_aim), self.now
+                endpoint.reduction, endpoint.reduced_at_ns = value, self.now
+            if name == "svc_ms" and value >= 0:
+                # Bounded: a crashed endpoint may report days; beyond the target times it is all the same.
+                endpoint.wait_s, endpoint.wait_at_ns = (
+                    min(value / 1000.0, SILENCE_LIMIT * self.longest_target_s),
+                    self.now,
+                )
         if report.size >= 0:
-            if office.group.size < 0:
-                for share in (self.all_legs, office.group.legs):  # an own pair without one is as good a hint
-                    share.add(self.now, float(report.size < 1))
-                self.circuits += report.size
-            office.group.told(self.now, report.free, report.size)
-            self.serve_waiting(office)
-
-    def leg(self, one: int, other: int) -> Leg:
-        return self.far.setdefault(ends(one, other), Leg())
-
-    def tried_leg(self, one: int, other: int, bad: float) -> None:
-        leg = self.leg(one, other)
-        if leg.seen == 0.0:
-            for share in (
-                self.all_legs,
-                *(self.trunk_groups[n].legs for n in (one, other) if n in self.trunk_groups),
+            if endpoint.group.size < 0:
+                # An own pair without a trunk group says as much about legs in general as a remote one.
+                for average in (self.all_leg_failures, endpoint.group.leg_failures):
+                    average.add(self.now, float(report.size < 1))
+                self.total_circuits += report.size
+            endpoint.group.update(self.now, report.free, report.size)
+            self.serve_queue(endpoint)
+
+    def remote_leg(self, first: int, second: int) -> RemoteLeg:
+        return self.remote_legs.setdefault(exchange_pair(first, second), RemoteLeg())
+
+    def record_leg(self, first: int, second: int, failure: float) -> None:
+        leg = self.remote_leg(first, second)
+        if leg.weight == 0.0:
+            for average in (
+                self.all_leg_failures,
+                *(self.trunk_groups[n].leg_failures for n in (first, second) if n in self.trunk_groups),
             ):
-                share.add(self.now, bad)
-        leg.add(self.now, bad)
+                average.add(self.now, failure)
+        leg.add(self.now, failure)
 
-    def list_news(self, event: interface.ExchangeListUpdate) -> None:
+    def list_updated(self, event: interface.ExchangeListUpdate) -> None:
         if event.kind == "unavailable":
-            self.acts.append(interface.SetTimer(self.ask_pause, "list"))
-            self.ask_pause = min(2 * self.ask_pause, max(SECOND, self.s.list_query_deadline_ns // 4))
+            self.actions.append(interface.SetTimer(self.list_retry_ns, "list"))
+            self.list_retry_ns = min(
+                2 * self.list_retry_ns, max(SECOND_NS, self.settings.list_query_deadline_ns // 4)
+            )
             return
-        self.ask_pause = SECOND
+        self.list_retry_ns = SECOND_NS
         known_before = bool(self.endpoints)
-        named = {e.endpoint_id for e in event.entries}
+        listed = {e.endpoint_id for e in event.entries}
         for entry in event.entries:
-            office = self.endpoints.get(entry.endpoint_id)
-            restarted = office is not None and entry.started_ns > office.entry.started_ns
-            if office is None or restarted:
-                group = self.trunk_groups.setdefault(entry.exchange, Group())  # a replacement takes it over
-                fresh = Office(entry, group, self.longest_aim)
-                if office is not None:
-                    fresh.out = office.out
+            endpoint = self.endpoints.get(entry.endpoint_id)
+            restarted = endpoint is not None and entry.started_ns > endpoint.entry.started_ns
+            if endpoint is None or restarted:
+                # A replacement takes over the trunk group of its exchange.
+                group = self.trunk_groups.setdefault(entry.exchange, TrunkGroup())
+                fresh = EndpointEstimate(entry, group, self.longest_target_s)
+                if endpoint is not None:
+                    fresh.pending = endpoint.pending
                 if entry.started_ns or known_before:
-                    fresh.cold_until = (entry.started_ns or self.now) + self.s.cold_ns
+                    fresh.slow_start_until = (entry.started_ns or self.now) + self.settings.cold_ns
                 self.endpoints[entry.endpoint_id] = fresh
             else:
-                office.entry = entry
+                endpoint.entry = entry
         if event.kind != "update":
-            for number, office in self.endpoints.items():
-                if number not in named:
-                    office.entry = replace(office.entry, state="terminated")
-        if len(self.endpoints) > OFFICES_KEPT:  # the table stays bounded: forget those long replaced
-            held = {c.out for c in self.calls.values()} | {c.ran_office for c in self.calls.values()}
-            for number, office in list(self.endpoints.items()):
-                if office.entry.state == "terminated" and number not in held:
-                    del self.endpoints[number]
+            for endpoint_id, endpoint in self.endpoints.items():
+                if endpoint_id not in listed:
+                    endpoint.entry = replace(endpoint.entry, state="terminated")
+        if len(self.endpoints) > MAX_ENDPOINTS:  # bounds the table: drops terminated endpoints
+            used = {c.pending_endpoint for c in self.calls.values()} | {
+                c.executed_endpoint for c in self.calls.values()
+            }
+            for endpoint_id, endpoint in list(self.endpoints.items()):
+                if endpoint.entry.state == "terminated" and endpoint_id not in used:
+                    del self.endpoints[endpoint_id]
         self.in_service = {}
-        for office in self.endpoints.values():
-            if office.entry.state == "in_service" and office.entry.exchange != self.s.own_exchange:
-                self.in_service.setdefault(office.entry.exchange, office)
-        if self.s.may_message_peers and not known_before and 0 <= self.s.own_exchange < NOTE_BITS:
-            self.acts.append(interface.SetTimer(SECOND * (self.s.rank + 1) // self.s.controllers, "note"))
-        if self.s.discovery == "ask" and not self.asked:
-            self.ask_list()
-
-    def in_pools(self, call: Call, office: Office) -> bool:
-        pools = () if self.s.layout == "meshed" else self.pools.get(call.kind.name, ())
-        return not pools or office.entry.exchange in pools
-
-    def pool_news(self, event: interface.PoolUpdate) -> None:
-        """A call that waits for a circuit where its class may no longer go is decided anew."""
-        self.pools[event.class_name] = event.exchanges or (-1,)  # no exchange: none, where () is any
-        for office in [
+        for endpoint in self.endpoints.values():
+            if endpoint.entry.state == "in_service" and endpoint.entry.exchange != self.settings.own_exchange:
+                self.in_service.setdefault(endpoint.entry.exchange, endpoint)
+        if (
+            self.settings.may_message_peers
+            and not known_before
+            and 0 <= self.settings.own_exchange < MAX_MESSAGE_EXCHANGES
+        ):
+            self.actions.append(
+                interface.SetTimer(SECOND_NS * (self.settings.rank + 1) // self.settings.controllers, "note")
+            )
+        if self.settings.discovery == "ask" and not self.list_requested:
+            self.watch_list()
+
+    def in_pools(self, call: Call, endpoint: EndpointEstimate) -> bool:
+        pools = () if self.settings.layout == "meshed" else self.pools.get(call.call_class.name, ())
+        return not pools or endpoint.entry.exchange in pools
+
+    def pool_updated(self, event: interface.PoolUpdate) -> None:
+        """Take over the exchanges of a class; calls queued where it may no longer go are decided again."""
+        self.pools[event.class_name] = event.exchanges or (-1,)  # an empty tuple would stand for any exchange
+        for endpoint in [
             self.endpoints[n] for n, queue in self.queued_calls.items() if queue and n in self.endpoints
         ]:
-            for call in [self.calls[name] for name in self.queued_calls[office.entry.endpoint_id]]:
-                if not self.in_pools(call, office):
-                    self.stop_waiting(call)
+            for call in [self.calls[call_id] for call_id in self.queued_calls[endpoint.entry.endpoint_id]]:
+                if not self.in_pools(call, endpoint):
+                    self.dequeue(call)
                     self.decide(call, may_wait=False)
 
-    def ask_list(self) -> None:
-        self.asked = True
-        self.acts.append(interface.WatchExchangeList())
+    def watch_list(self) -> None:
+        self.list_requested = True
+        self.actions.append(interface.WatchExchangeList())
 
-    # --- Notes between controllers ------------------------------------------------------------------------
+    # --- Messages between controllers ---------------------------------------------------------------------
 
-    def tell_peers(self) -> None:
-        """Tell the others which own groups are there, and which have room for more than their own calls.
+    def message_peers(self) -> None:
+        """Tell the other controllers which own trunk groups exist and which have circuits to spare.
 
-        It spares the trials by which far legs are learned.  Notes may be lost, and age: a group that is not
-        there is believed until the next note, a full one for a short while.
+        This saves the trial calls by which remote legs are learned.  Messages may be lost, and age: that a
+        group does not exist is believed until the next message, that it is full only for a short while.
         """
-        there = room = 0
+        existing = available = 0
         for exchange, group in self.trunk_groups.items():
-            if group.size >= 1 and 0 <= exchange < NOTE_BITS:
-                there |= 1 << exchange
-                room |= (group.free >= 1 and group.displaced(1) < 0.5) << exchange
-        size = there.bit_length() // 8 + 1
-        parts = ((NOTE, 1), (self.s.own_exchange, 2), (there, size), (room, size))
-        self.acts.append(
+            if group.size >= 1 and 0 <= exchange < MAX_MESSAGE_EXCHANGES:
+                existing |= 1 << exchange
+                available |= (group.free >= 1 and group.displaced_calls(1) < 0.5) << exchange
+        size = existing.bit_length() // 8 + 1
+        parts = ((MESSAGE_TYPE, 1), (self.settings.own_exchange, 2), (existing, size), (available, size))
+        self.actions.append(
             interface.SendPeerMessage(-1, b"".join(n.to_bytes(length, "big") for n, length in parts))
         )
-        pause_s = self.s.controllers / max(0.1, self.planned_rate() * NOTES_A_CALL)
-        self.acts.append(interface.SetTimer(int(max(SHARE_AGE_S, pause_s) * SECOND), "note"))
+        interval_s = self.settings.controllers / max(0.1, self.planned_rate() * MESSAGES_PER_CALL)
+        self.actions.append(interface.SetTimer(int(max(OUTCOME_DECAY_S, interval_s) * SECOND_NS), "note"))
 
-    def peer_note(self, event: interface.PeerMessage) -> None:
-        text = event.payload
-        size = (len(text) - 3) // 2
-        if size < 1 or len(text) != 3 + 2 * size or text[0] != NOTE:
+    def peer_message_received(self, event: interface.PeerMessage) -> None:
+        payload = event.payload
+        size = (len(payload) - 3) // 2
+        if size < 1 or len(payload) != 3 + 2 * size or payload[0] != MESSAGE_TYPE:
             return
-        exchange = int.from_bytes(text[1:3], "big")
+        exchange = int.from_bytes(payload[1:3], "big")
         if exchange in self.trunk_groups:
-            there, room = (int.from_bytes(text[n : n + size], "big") for n in (3, 3 + size))
-            self.notes[exchange] = (there, room, self.now)
+            existing, available = (int.from_bytes(payload[n : n + size], "big") for n in (3, 3 + size))
+            self.peer_reports[exchange] = (existing, available, self.now)
+
+    # --- Rules checked before every set-up ----------------------------------------------------------------
 
-    # --- Guards -------------------------------------------------------------------------------------------
+    def may_send(self, call: Call, endpoint: EndpointEstimate) -> bool:
+        """Whether the rules allow a set-up, whatever its score.
 
-    def may_send(self, call: Call, office: Office) -> bool:
-        """Rules 2 to 4, checked before every send whatever the score says."""
-        if office.entry.state != "in_service" or call.out >= 0 or office.entry.endpoint_id in call.tried:
+        The endpoint is in service and untried, no other attempt is under way, the call class allows a repeat
+        there, and the slow-start limit is kept.
+        """
+        if (
+            endpoint.entry.state != "in_service"
+            or call.pending_endpoint >= 0
+            or endpoint.entry.endpoint_id in call.tried
+        ):
             return False
-        if call.ran_office >= 0 and call.kind.repeat != "free":
-            if call.kind.repeat == "single_shot":
+        if call.executed_endpoint >= 0 and call.call_class.repeat != "free":
+            if call.call_class.repeat == "single_shot":
                 return False
-            ran, here, scope = self.endpoints[call.ran_office].entry, office.entry, call.kind.repeat_scope
-            same = ran.zone == here.zone if scope == "zone" else ran.exchange == here.exchange
-            if not (same or scope == "all") or self.now >= call.ran_at + call.kind.repeat_window_ns:
+            executed, entry, scope = (
+                self.endpoints[call.executed_endpoint].entry,
+                endpoint.entry,
+                call.call_class.repeat_scope,
+            )
+            same = executed.zone == entry.zone if scope == "zone" else executed.exchange == entry.exchange
+            if (
+                not (same or scope == "all")
+                or self.now >= call.executed_ns + call.call_class.repeat_window_ns
+            ):
                 return False
-        return self.now >= office.cold_until or self.within_cold_budget(office)
+        return self.now >= endpoint.slow_start_until or self.within_slow_start_limit(endpoint)
 
     def planned_rate(self) -> float:
-        """Calls a second, out or in, that an exchange's circuits or a pool's agents are built for."""
-        shared_by = 2 if self.s.layout == "meshed" else max(1, len(self.trunk_groups))
-        return self.circuits / shared_by / (self.mean_holding / SECOND)
-
-    def within_cold_budget(self, office: Office) -> bool:
-        """Guards against pushing over a processor that has just started (rule 4).
-
-        Every controller keeps to its part of what the processor bears at its start, guessed from the own
-        circuits, which no flood of calls changes; under one set-up a window, to one in so many, the first by
-        rank, so that the sum keeps at any size.  Harm: a small exchange turns calls away too early.
+        """Calls per second, outgoing or incoming, for which an exchange's circuits or agents are sized."""
+        shared_by = 2 if self.settings.layout == "meshed" else max(1, len(self.trunk_groups))
+        return self.total_circuits / shared_by / (self.mean_holding_ns / SECOND_NS)
+
+    def within_slow_start_limit(self, endpoint: EndpointEstimate) -> bool:
+        """Whether this controller may send a set-up to an endpoint that has just started.
+
+        Guards against overloading it.  Each controller keeps to its part of what the endpoint can take after
+        its start.  That is estimated from the own circuits, which do not change in a flood of calls.  A part
+        below one set-up per window becomes one set-up per longer window, in turns by rank, so that the sum
+        stays within the limit for any number of controllers.  Drawback: a small exchange refuses calls too
+        early.
         """
-        bears = self.planned_rate() * self.s.start_capacity * self.s.fall_multiple * self.s.fall_ns / SECOND
-        part = bears * 2 * COLD_CAUTION / self.s.controllers
-        window = int(self.s.fall_ns / max(min(part, 1.0), 0.01))
-        office.cold_sends = [t for t in office.cold_sends if t > self.now - window]
-        turn = (window - self.s.fall_ns) * self.s.rank // self.s.controllers
-        in_turn = office.cold_until - self.s.cold_ns + turn
-        return self.now >= in_turn and len(office.cold_sends) < max(1, int(part))
+        limit = (
+            self.planned_rate()
+            * self.settings.start_capacity
+            * self.settings.fall_multiple
+            * self.settings.fall_ns
+            / SECOND_NS
+        )
+        part = limit * 2 * SLOW_START_SAFETY / self.settings.controllers
+        window = int(self.settings.fall_ns / max(min(part, 1.0), 0.01))
+        endpoint.slow_start_sends = [t for t in endpoint.slow_start_sends if t > self.now - window]
+        turn = (window - self.settings.fall_ns) * self.settings.rank // self.settings.controllers
+        turn_starts_ns = endpoint.slow_start_until - self.settings.cold_ns + turn
+        return self.now >= turn_starts_ns and len(endpoint.slow_start_sends) < max(1, int(part))
--- a/trackhatch/interface.py
+++ b/trackhatch/interface.py
@@ -1,7 +1,9 @@
-"""What goes into and comes out of the controller in ``choice.py``, in telephony's words.
+"""Settings, events and actions of the decision module in ``trackhatch/controller.py``.
 
-All times are whole nanoseconds of one clock that only goes forward.  Nothing here decides anything:
-fields have no defaults that amount to a decision, and checks only reject what makes no sense.
+All times are whole nanoseconds of one monotonic clock.  An exchange is a node of the network, known by its
+number; an endpoint is one processor that serves it (a replacement may run beside one that drains).  Nothing
+here decides anything: fields have no defaults that amount to a decision, and checks only reject values that
+make no sense.
 """
 
 from __future__ import annotations
@@ -9,41 +11,47 @@
 from dataclasses import dataclass
 
 
-def _need(holds: bool, field: str, why: str) -> None:
-    if not holds:
-        raise ValueError(f"{field}: {why}")
+def _require(condition: bool, field: str, reason: str) -> None:
+    if not condition:
+        raise ValueError(f"{field}: {reason}")
 
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """One class of call, as the operator states it."""
+    """One class of calls, as configured by the operator."""
 
     name: str
-    worth: float
-    late_share: float  # share of the worth when it stands after the aim, within the caller's time
-    aim_ns: int  # wanted set-up time
-    aim_work_factor: float  # the aim grows by this many times the call's own work
+    worth: float  # value of an answered call
+    late_share: float  # share of the worth of a call answered after its target time, before its deadline
+    aim_ns: int  # target set-up time
+    aim_work_factor: float  # the target grows by this factor times the call's own work
     deadline_ns: int  # how long a caller goes on trying, from the first try
     holding_ns: int  # mean holding time
-    width: int  # circuits on each trunk group
-    repeat: str  # "free", "guarded" or "single_shot"
-    repeat_scope: str  # for "guarded": "all", "zone" or "cell"
-    repeat_window_ns: int
+    width: int  # circuits taken on each trunk group
+    repeat: str  # attempts after one that may have been executed: "free", "guarded" or "single_shot"
+    repeat_scope: str  # for "guarded", where a repeat is allowed: "all", "zone" or "cell"
+    repeat_window_ns: int  # for "guarded", how long a repeat is allowed
 
     def __post_init__(self) -> None:
-        _need(self.worth >= 0, "worth", "must not be negative")
-        _need(0 <= self.late_share <= 1, "late_share", "must lie between 0 and 1")
-        _need(self.aim_ns > 0, "aim_ns", "must be above 0")
-        _need(self.deadline_ns > 0, "deadline_ns", "must be above 0")
-        _need(self.holding_ns > 0, "holding_ns", "must be above 0")
-        _need(self.width >= 1, "width", "must be at least 1")
-        _need(self.repeat in ("free", "guarded", "single_shot"), "repeat", f"unknown kind {self.repeat!r}")
-        _need(self.repeat_scope in ("all", "zone", "cell"), "repeat_scope", f"unknown {self.repeat_scope!r}")
+        _require(self.worth >= 0, "worth", "must not be negative")
+        _require(0 <= self.late_share <= 1, "late_share", "must be between 0 and 1")
+        _require(self.aim_ns > 0, "aim_ns", "must be above 0")
+        _require(self.deadline_ns > 0, "deadline_ns", "must be above 0")
+        _require(self.holding_ns > 0, "holding_ns", "must be above 0")
+        _require(self.width >= 1, "width", "must be at least 1")
+        _require(
+            self.repeat in ("free", "guarded", "single_shot"), "repeat", f"unknown value {self.repeat!r}"
+        )
+        _require(
+            self.repeat_scope in ("all", "zone", "cell"),
+            "repeat_scope",
+            f"unknown value {self.repeat_scope!r}",
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and the calls a second, over all exchanges, inside its share."""
+    """A tenant and its quota: calls per second, over all exchanges, that count with their full worth."""
 
     name: str
     quota_per_s: float
@@ -51,49 +59,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is handed at its start."""
+    """Settings of a controller instance, fixed at its start."""
 
     classes: tuple[CallClass, ...]
     tenants: tuple[Tenant, ...]
-    over_share_worth: float
+    over_share_worth: float  # share of the worth that calls beyond a tenant's quota keep
     layout: str  # "meshed": trunk groups between exchanges; "groups": shared pools of agents
     own_exchange: int  # number of the own exchange; -1 with "groups"
     own_zone: str
-    pools_by_class: tuple[tuple[int, ...], ...]  # for each class; empty: any pool
-    controllers: int  # instances in all
-    rank: int
-    discovery: str  # "push" or "ask"
-    list_query_deadline_ns: int
-    release_ns: int
-    resend_ns: int  # 0: a waiting set-up is not sent again by itself
+    pools_by_class: tuple[tuple[int, ...], ...]  # exchanges that each class may use; empty: any
+    controllers: int  # number of controller instances
+    rank: int  # index of this instance
+    discovery: str  # how the exchange list arrives: "push" or "ask"
+    list_query_deadline_ns: int  # with "ask": time within which the list must be requested
+    release_ns: int  # wait before another attempt, while the endpoint of the last one may hold the call
+    resend_ns: int  # interval at which a waiting set-up is sent again; 0: never
     drain_grace_ns: int
-    start_capacity: float
-    cold_ns: int
-    fall_multiple: float
-    fall_ns: int
+    start_capacity: float  # share of its capacity that an endpoint has in slow start
+    cold_ns: int  # length of the slow start after an endpoint's start
+    fall_multiple: float  # load, as a multiple of its capacity, at which an endpoint fails
+    fall_ns: int  # window over which that load is counted
     max_attempts: int
     may_probe: bool
     may_message_peers: bool
     may_cancel: bool
     may_send_retry_after: bool
     max_retry_after_ns: int
-    central_advice: bool
+    central_advice: bool  # offered calls name the tandem or pool that a central controller recommends
     redials_marked: bool  # callers mark their redials
-    report_fields: tuple[str, ...]
+    report_fields: tuple[str, ...]  # fields of load reports
 
     def __post_init__(self) -> None:
-        _need(len(self.classes) > 0, "classes", "at least one is needed")
-        _need(self.layout in ("meshed", "groups"), "layout", f"unknown layout {self.layout!r}")
-        _need(self.discovery in ("push", "ask"), "discovery", f"unknown kind {self.discovery!r}")
-        _need(self.controllers >= 1, "controllers", "must be at least 1")
-        _need(self.max_attempts >= 1, "max_attempts", "must be at least 1")
-        _need(self.release_ns >= 0, "release_ns", "must not be negative")
-        _need(self.resend_ns >= 0, "resend_ns", "must not be negative")
-        _need(0 < self.start_capacity <= 1, "start_capacity", "must lie above 0 and up to 1")
-        _need(self.fall_multiple > 0, "fall_multiple", "must be above 0")
-        _need(self.fall_ns > 0, "fall_ns", "must be above 0")
-        _need(self.cold_ns >= 0, "cold_ns", "must not be negative")
-        _need(0 <= self.over_share_worth <= 1, "over_share_worth", "must lie between 0 and 1")
+        _require(len(self.classes) > 0, "classes", "at least one is required")
+        _require(self.layout in ("meshed", "groups"), "layout", f"unknown value {self.layout!r}")
+        _require(self.discovery in ("push", "ask"), "discovery", f"unknown value {self.discovery!r}")
+        _require(self.controllers >= 1, "controllers", "must be at least 1")
+        _require(self.max_attempts >= 1, "max_attempts", "must be at least 1")
+        _require(self.release_ns >= 0, "release_ns", "must not be negative")
+        _require(self.resend_ns >= 0, "resend_ns", "must not be negative")
+        _require(0 < self.start_capacity <= 1, "start_capacity", "must be above 0 and at most 1")
+        _require(self.fall_multiple > 0, "fall_multiple", "must be above 0")
+        _require(self.fall_ns > 0, "fall_ns", "must be above 0")
+        _require(self.cold_ns >= 0, "cold_ns", "must not be negative")
+        _require(0 <= self.over_share_worth <= 1, "over_share_worth", "must be between 0 and 1")
 
 
 # Events
@@ -101,18 +109,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ListEntry:
-    """One processor in the exchange list."""
+    """One endpoint in the exchange list."""
 
     endpoint_id: int
     zone: str
     exchange: int
     state: str  # "in_service", "terminating" or "terminated"
-    started_ns: int  # clock time of its last start; 0: long ago
+    started_ns: int  # time of its last start; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeListUpdate:
-    """News of the exchange list."""
+    """The exchange list has changed, or cannot be reached."""
 
     kind: str  # "update", "replace", "restored" or "unavailable"
     entries: tuple[ListEntry, ...]
@@ -120,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOffered:
-    """A call is handed to this controller, from a subscriber or in transit."""
+    """A call arrives at this controller, from a subscriber or in transit."""
 
     call_id: str
     class_name: str
@@ -128,16 +136,20 @@
     destination: int
     number: int
     width: int
-    deadline_ns: int  # clock time at which the caller gives this try up
-    expected_work_ns: int  # expected own work; 0 where unsaid
+    deadline_ns: int  # time at which the caller gives up this try
+    expected_work_ns: int  # expected own work of the call; 0: not known
     in_transit: bool
     redialled: bool
-    replaces_cut_call: bool
-    via_exchange: int  # tandem or pool with most room at the centre's last look; -1: none
+    replaces_cut_call: bool  # the caller dials again as an established call was cut
+    # In transit: the forwarding exchange.  Otherwise the tandem or pool with the most free capacity when a
+    # central controller last looked.  -1: none.
+    via_exchange: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallEstablished:
+    """A set-up was answered by the endpoint."""
+
     call_id: str
     endpoint_id: int
     attempt: int
@@ -146,21 +158,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Circuits of the own group toward an office, and figures of its processor by name."""
+    """Circuits of the own trunk group toward an endpoint, and metrics of the endpoint by name."""
 
-    free: float  # -1: not told
+    free: float  # -1: not reported
     size: float
     metrics: tuple[tuple[str, float], ...]
 
 
-CAUSE_CONNECTION_FAILED = (
-    5  # a cause: the connection to the office failed, which says nothing of its processor
-)
+# Cause code: the connection to the endpoint failed, which says nothing about its processor.
+CAUSE_CONNECTION_FAILED = 5
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt."""
+    """An attempt has ended; each attempt ends once."""
 
     call_id: str
     endpoint_id: int
@@ -174,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrunkGroupReport:
-    """The own group toward an office has changed, or a probe has come back."""
+    """The own trunk group toward an endpoint has changed, or a probe was answered."""
 
     endpoint_id: int
     outcome: str
@@ -184,6 +195,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
+    """The caller no longer waits for an answer."""
+
     call_id: str
 
 
@@ -194,13 +207,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
+    """A message of another controller instance."""
+
     sender: int
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class PoolUpdate:
-    """The exchanges that a class of the layout "groups" may use from now on; empty: none."""
+    """Exchanges that a class may use from now on, in the layout "groups"; empty: none."""
 
     class_name: str
     exchanges: tuple[int, ...]
@@ -232,12 +247,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseCall:
+    """Final answer: the call is refused and was not executed."""
+
     call_id: str
     retry_after_ns: int  # 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
 class FailCall:
+    """Final answer: the call has failed, an attempt may have been executed."""
+
     call_id: str
 
 
@@ -249,7 +268,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchExchangeList:
-    """Ask the exchange list for changes from now on."""
+    """Request the exchange list and its changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -260,6 +279,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Ask an endpoint for its load report."""
+
     endpoint_id: int
 
 
--- a/trackhatch/simhost.py
+++ b/trackhatch/simhost.py
@@ -1,6 +1,6 @@
-"""The simulator's wire on standard input and output, for many isolated controllers.
+"""Simulator adapter: runs many isolated controllers behind the simulator's protocol on stdin and stdout.
 
-Translates between the wire and ``interface.py`` and decides nothing.
+Translates between the protocol's JSON lines and ``interface.py``, and decides nothing.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from trackhatch import interface
 from trackhatch.controller import Controller
 
-Msg = dict[str, Any]
+Message = dict[str, Any]
 
 
 class WireError(Exception):
-    """A line that is no batch."""
+    """An input line is not a valid batch."""
 
 
-def read_settings(info: Msg) -> interface.Settings:
-    """Settings from the wire's ``info`` object; ``ValueError`` names a field that is missing or wrong."""
+def read_settings(info: Message) -> interface.Settings:
+    """Read settings from the ``info`` object; ``ValueError`` names a field that is missing or invalid."""
     try:
-        family, limits, rules = info["family-info"], info["policy-limits"], info["contract"]
+        family, limits, contract = info["family-info"], info["policy-limits"], info["contract"]
         report = info.get("report") or {}
         return interface.Settings(
-            classes=tuple(_read_class(c, n, family) for n, c in enumerate(info["classes"])),
+            classes=tuple(_read_class(fields, n, family) for n, fields in enumerate(info["classes"])),
             tenants=tuple(
                 interface.Tenant(str(t["name"]), float(t["quota-per-s"])) for t in info.get("tenants") or ()
             ),
@@ -41,14 +41,14 @@
             controllers=int(info["instances"]),
             rank=int(info.get("rank", 0)),
             discovery=info["discovery"],
-            list_query_deadline_ns=int(rules.get("must-ask-in-ns", 0)),
+            list_query_deadline_ns=int(contract.get("must-ask-in-ns", 0)),
             release_ns=int(family["release-ns"] if "release-ns" in family else family["clear-ns"]),
             resend_ns=int(family.get("resend-ns", 0)),
-            drain_grace_ns=int(rules["drain-grace-ns"]),
-            start_capacity=float(rules["start-capacity"]),
-            cold_ns=int(rules["cold-ns"]),
-            fall_multiple=float(rules["fall-multiple"]),
-            fall_ns=int(rules["fall-ns"]),
+            drain_grace_ns=int(contract["drain-grace-ns"]),
+            start_capacity=float(contract["start-capacity"]),
+            cold_ns=int(contract["cold-ns"]),
+            fall_multiple=float(contract["fall-multiple"]),
+            fall_ns=int(contract["fall-ns"]),
             max_attempts=int(limits["max-attempts"]),
             may_probe=bool(limits.get("may-probe")),
             may_message_peers=bool(limits.get("may-tell")),
@@ -59,137 +59,146 @@
             redials_marked=bool((info.get("clients") or {}).get("marks-retry")),
             report_fields=tuple(report.get("fields") or ()),
         )
-    except KeyError as missing:
-        raise ValueError(f"settings lack {missing.args[0]}") from missing
-    except (TypeError, IndexError) as wrong:
-        raise ValueError(f"settings make no sense: {wrong}") from wrong
+    except KeyError as error:
+        raise ValueError(f"missing setting: {error.args[0]}") from error
+    except (TypeError, IndexError) as error:
+        raise ValueError(f"invalid settings: {error}") from error
 
 
-def _read_class(c: Msg, n: int, family: Msg) -> interface.CallClass:
-    for field in ("class-hold-ns", "mean-hold-ns", "widths"):
-        if len(family.get(field, range(n + 1))) <= n:
-            raise ValueError(f"settings lack {field} for class {n}")
-    holds = family["class-hold-ns"] if "class-hold-ns" in family else family["mean-hold-ns"]
+def _read_class(fields: Message, index: int, family: Message) -> interface.CallClass:
+    for name in ("class-hold-ns", "mean-hold-ns", "widths"):
+        if len(family.get(name, range(index + 1))) <= index:
+            raise ValueError(f"missing setting: {name} of class {index}")
+    holding_times = family["class-hold-ns"] if "class-hold-ns" in family else family["mean-hold-ns"]
     return interface.CallClass(
-        name=str(c["name"]),
-        worth=float(c["worth"]),
-        late_share=float(c.get("late-share", 0.0)),
-        aim_ns=int(c["objective-ns"]),
-        aim_work_factor=float(c.get("aim-stretch", 0.0)),
-        deadline_ns=int(c["deadline-ns"]),
-        holding_ns=int(holds[n]),
-        width=int(family["widths"][n]),
-        repeat=c.get("repeat", "free"),
-        repeat_scope=c.get("dedup-scope", "all"),
-        repeat_window_ns=int(c.get("window-ns", 0)),
+        name=str(fields["name"]),
+        worth=float(fields["worth"]),
+        late_share=float(fields.get("late-share", 0.0)),
+        aim_ns=int(fields["objective-ns"]),
+        aim_work_factor=float(fields.get("aim-stretch", 0.0)),
+        deadline_ns=int(fields["deadline-ns"]),
+        holding_ns=int(holding_times[index]),
+        width=int(family["widths"][index]),
+        repeat=fields.get("repeat", "free"),
+        repeat_scope=fields.get("dedup-scope", "all"),
+        repeat_window_ns=int(fields.get("window-ns", 0)),
     )
 
 
 def _read_report(usage: dict[str, float] | None) -> interface.LoadReport | None:
     if not usage:
         return None
-    rest = tuple((k, v) for k, v in usage.items() if k not in ("spare", "total"))
-    return interface.LoadReport(usage.get("spare", -1), usage.get("total", -1), rest)
+    metrics = tuple((name, value) for name, value in usage.items() if name not in ("spare", "total"))
+    return interface.LoadReport(usage.get("spare", -1), usage.get("total", -1), metrics)
 
 
-def _inbound(m: Msg) -> interface.CallOffered:
+def _read_offer(fields: Message) -> interface.CallOffered:
     return interface.CallOffered(
-        call_id=m["rid"],
-        class_name=m.get("kind", ""),
-        tenant=str(m.get("user-group") or ""),
-        destination=m.get("called-node", -1),
-        number=m.get("affinity", 0),
-        width=m.get("width", 1),
-        deadline_ns=m["deadline-ns"],
-        expected_work_ns=m.get("expected-ns", 0),
-        in_transit=m.get("midflow", False),
-        redialled=m.get("again-by-client", False),
-        replaces_cut_call=m.get("came-back", False),
-        via_exchange=m.get("through", -1),
+        call_id=fields["rid"],
+        class_name=fields.get("kind", ""),
+        tenant=str(fields.get("user-group") or ""),
+        destination=fields.get("called-node", -1),
+        number=fields.get("affinity", 0),
+        width=fields.get("width", 1),
+        deadline_ns=fields["deadline-ns"],
+        expected_work_ns=fields.get("expected-ns", 0),
+        in_transit=fields.get("midflow", False),
+        redialled=fields.get("again-by-client", False),
+        replaces_cut_call=fields.get("came-back", False),
+        via_exchange=fields.get("through", -1),
     )
 
 
-def _outcome(m: Msg) -> interface.AttemptEnded:
+def _read_outcome(fields: Message) -> interface.AttemptEnded:
     return interface.AttemptEnded(
-        m["rid"], m["office"], m.get("go", 0), m["code"], m.get("lag-ns", 0), m.get("last", False),
-        m.get("cause", 0), _read_report(m.get("usage")),
+        fields["rid"], fields["office"], fields.get("go", 0), fields["code"], fields.get("lag-ns", 0),
+        fields.get("last", False), fields.get("cause", 0), _read_report(fields.get("usage")),
     )  # fmt: skip
 
 
-READERS: dict[str, Callable[[Msg], interface.Event]] = {
-    "inbound": _inbound,
-    "outcome": _outcome,
-    "head-received": lambda m: interface.CallEstablished(
-        m["rid"], m["office"], m.get("go", 0), m.get("lag-ns", 0)
+READERS: dict[str, Callable[[Message], interface.Event]] = {
+    "inbound": _read_offer,
+    "outcome": _read_outcome,
+    "head-received": lambda fields: interface.CallEstablished(
+        fields["rid"], fields["office"], fields.get("go", 0), fields.get("lag-ns", 0)
     ),
-    "status-back": lambda m: interface.TrunkGroupReport(
-        m["office"], m.get("code", ""), m.get("lag-ns", 0), _read_report(m.get("usage"))
+    "status-back": lambda fields: interface.TrunkGroupReport(
+        fields["office"], fields.get("code", ""), fields.get("lag-ns", 0), _read_report(fields.get("usage"))
+    ),
+    "dropped": lambda fields: interface.CallerGone(fields["rid"]),
+    "elapsed": lambda fields: interface.TimerExpired(fields.get("ctx", "")),
+    "message": lambda fields: interface.PeerMessage(
+        fields.get("by", -1), base64.b64decode(fields.get("msg", ""))
     ),
-    "dropped": lambda m: interface.CallerGone(m["rid"]),
-    "elapsed": lambda m: interface.TimerExpired(m.get("ctx", "")),
-    "message": lambda m: interface.PeerMessage(m.get("by", -1), base64.b64decode(m.get("msg", ""))),
 }
 
 
-def write_action(action: interface.Action) -> Msg:
-    """One action as the wire words it."""
+def write_action(action: interface.Action) -> Message:
+    """Convert an action to its form in the protocol."""
     match action:
-        case interface.SendSetUp(call, office, time_out):
-            body: Msg = {"rid": call, "office": office}
-            return {"dispatch": body | {"within-ns": time_out} if time_out else body}
-        case interface.RefuseCall(call, stay_away):
-            return {"push-back": {"rid": call, "backoff-ns": stay_away} if stay_away else {"rid": call}}
-        case interface.FailCall(call):
-            return {"report-failure": {"rid": call}}
-        case interface.SetTimer(in_ns, mark):
-            return {"timer": {"in-ns": in_ns, "ctx": mark}}
+        case interface.SendSetUp(call_id, endpoint_id, timeout_ns):
+            body: Message = {"rid": call_id, "office": endpoint_id}
+            return {"dispatch": body | {"within-ns": timeout_ns} if timeout_ns else body}
+        case interface.RefuseCall(call_id, retry_after_ns):
+            return {
+                "push-back": {"rid": call_id, "backoff-ns": retry_after_ns}
+                if retry_after_ns
+                else {"rid": call_id}
+            }
+        case interface.FailCall(call_id):
+            return {"report-failure": {"rid": call_id}}
+        case interface.SetTimer(delay_ns, timer_id):
+            return {"timer": {"in-ns": delay_ns, "ctx": timer_id}}
         case interface.WatchExchangeList():
             return {"stream-changes": {"active": True}}
-        case interface.CancelSetUp(call, attempt):
-            return {"drop-attempt": {"rid": call, "go": attempt}}
-        case interface.Probe(office):
-            return {"ping": {"office": office}}
-        case interface.SendPeerMessage(peer, text):
-            to: int | str = "*" if peer < 0 else peer
-            return {"signal": {"neighbour-id": to, "msg": base64.b64encode(text).decode()}}
+        case interface.CancelSetUp(call_id, attempt):
+            return {"drop-attempt": {"rid": call_id, "go": attempt}}
+        case interface.Probe(endpoint_id):
+            return {"ping": {"office": endpoint_id}}
+        case interface.SendPeerMessage(peer, payload):
+            receiver: int | str = "*" if peer < 0 else peer
+            return {"signal": {"neighbour-id": receiver, "msg": base64.b64encode(payload).decode()}}
 
 
 class Host:
-    """The controllers of one process, and the list pages that are the process's own."""
+    """The controllers of one process, and the pages of the exchange list that they share."""
 
     def __init__(self) -> None:
         self.controllers: dict[int, Controller] = {}
         self.pages: dict[int, tuple[interface.ListEntry, ...]] = {}
 
     def batch(self, line: bytes) -> bytes:
-        """Answer one line with one line; ``WireError`` where it is no batch."""
+        """Handle one input line and return the reply line; raise ``WireError`` if it is not a batch."""
         try:
-            outer = orjson.loads(line)
-            now, groups = outer["t-ns"], outer["groups"]
-            work = [(g["server-id"], g["msgs"]) for g in groups]
-        except (orjson.JSONDecodeError, KeyError, TypeError) as wrong:
-            raise WireError(f"not a batch: {wrong}") from wrong
+            request = orjson.loads(line)
+            now, groups = request["t-ns"], request["groups"]
+            batches = [(g["server-id"], g["msgs"]) for g in groups]
+        except (orjson.JSONDecodeError, KeyError, TypeError) as error:
+            raise WireError(f"not a batch: {error}") from error
         replies = []
-        for number, messages in work:
+        for number, messages in batches:
             try:
-                actions = self._instance(number, now, messages)
-            except Exception as failure:  # the wire wants every failure of the decision code named
+                actions = self._handle(number, now, messages)
+            except Exception as error:
+                # The protocol requires every failure of the decision code to be reported.
                 traceback.print_exc()
-                actions = [{"panic": {"message": f"{type(failure).__name__}: {failure}"}}]
+                actions = [{"panic": {"message": f"{type(error).__name__}: {error}"}}]
             if actions:
                 replies.append({"server-id": number, "decisions": actions})
         return orjson.dumps({"groups": replies})
 
-    def _instance(self, number: int, now: int, messages: list[Msg]) -> list[Msg]:
+    def _handle(self, number: int, now: int, messages: list[Message]) -> list[Message]:
         events: list[interface.Event] = []
-        actions: list[Msg] = []
+        actions: list[Message] = []
         for message in messages:
-            for name, m in message.items():
+            for name, fields in message.items():
                 if name == "page":
-                    self.pages[m["page"]] = tuple(_entry(e) for e in m["lines"])
+                    self.pages[fields["page"]] = tuple(_read_entry(line) for line in fields["lines"])
                 elif name == "announce":
-                    entries = () if m["form"] == "unavailable" else self.pages.get(m.get("page", -1), ())
-                    events.append(interface.ExchangeListUpdate(m["form"], entries))
+                    entries = (
+                        () if fields["form"] == "unavailable" else self.pages.get(fields.get("page", -1), ())
+                    )
+                    events.append(interface.ExchangeListUpdate(fields["form"], entries))
                 elif name in ("stop", "spawn"):
                     actions += self._run(number, now, events)
                     events = []
@@ -197,32 +206,35 @@
                     if name == "stop":
                         actions = []
                     else:
-                        self.controllers[number] = Controller(read_settings(m["info"]), m.get("prng", 0))
+                        self.controllers[number] = Controller(
+                            read_settings(fields["info"]), fields.get("prng", 0)
+                        )
                 elif name in READERS:
-                    events.append(READERS[name](m))
+                    events.append(READERS[name](fields))
         return actions + self._run(number, now, events)
 
-    def _run(self, number: int, now: int, events: list[interface.Event]) -> list[Msg]:
+    def _run(self, number: int, now: int, events: list[interface.Event]) -> list[Message]:
         controller = self.controllers.get(number)
         if controller is None or not events:
             return []
         return [write_action(a) for a in controller.step(now, events)]
 
 
-def _entry(e: Msg) -> interface.ListEntry:
+def _read_entry(line: Message) -> interface.ListEntry:
     return interface.ListEntry(
-        e["office"], e.get("site", ""), e.get("cell", -1), e["readiness"], e.get("since-ns", 0)
+        line["office"], line.get("site", ""), line.get("cell", -1), line["readiness"], line.get("since-ns", 0)
     )
 
 
 def main() -> int:
+    """Answer batches line by line until the end of input; return the exit status."""
     host = Host()
     out = sys.stdout.buffer
     for line in sys.stdin.buffer:
         try:
             reply = host.batch(line)
-        except WireError as wrong:
-            print(f"simhost: {wrong}", file=sys.stderr)
+        except WireError as error:
+            print(f"simhost: {error}", file=sys.stderr)
             return 2
         out.write(reply + b"\n")
         out.flush()
