--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -504,8 +504,8 @@
         NOW,
         [interface.ExchangeListUpdate("restored", (entry(101), entry(102))), group(101, 0), group(102, 20)],
     )
-    assert sent(module.step(NOW, [call("a", to=1)])) == [] and "a" in module.queued_calls[101]
+    assert sent(module.step(NOW, [call("a", destination=1)])) == [] and "a" in module.queued_calls[101]
     assert sent(module.step(NOW + MS, [interface.PoolUpdate("check", (2,))])) == [("a", 102)]
-    assert sent(module.step(NOW + MS, [call("b", to=2)])) == [("b", 102)]
+    assert sent(module.step(NOW + MS, [call("b", destination=2)])) == [("b", 102)]
     module.step(NOW + 2 * MS, [interface.PoolUpdate("check", ())])
-    assert sent(module.step(NOW + 2 * MS, [call("c", to=2)])) == []
+    assert sent(module.step(NOW + 2 * MS, [call("c", destination=2)])) == []
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The wire, with hand-written lines."""
+"""Protocol of the simulator adapter, with hand-written lines."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     return [d for g in json.loads(reply)["groups"] for d in g["decisions"]]
 
 
-def test_a_call_is_dispatched_and_an_unknown_event_passed_over() -> None:
+def test_call_is_dispatched_and_an_unknown_event_is_ignored() -> None:
     host = Host()
     assert decisions(host.batch(batch(*START))) == []
     assert decisions(host.batch(batch({"tomorrow": {}}, CALL))) == [
@@ -76,7 +76,7 @@
     assert decisions(host.batch(batch(CALL, server=2))) == [{"dispatch": {"rid": "r-a", "office": 12}}]
 
 
-def test_a_stop_forgets_everything_and_a_page_is_used_in_order() -> None:
+def test_stop_drops_all_state_and_a_new_list_page_is_used() -> None:
     host = Host()
     host.batch(batch(*START, CALL))
     assert decisions(host.batch(batch({"stop": {}}))) == []
@@ -85,7 +85,7 @@
     assert decisions(host.batch(batch(*START, again))) == [{"dispatch": {"rid": "r-b", "office": 12}}]
 
 
-def test_a_failure_of_the_module_becomes_a_panic(capsys: pytest.CaptureFixture[str]) -> None:
+def test_failure_of_the_decision_module_is_reported_as_panic(capsys: pytest.CaptureFixture[str]) -> None:
     host = Host()
     reply = decisions(host.batch(batch({"spawn": {"prng": 1, "info": {"classes": []}}})))
     assert list(reply[0]) == ["panic"] and "family-info" in reply[0]["panic"]["message"]
@@ -99,14 +99,14 @@
 
 
 @pytest.mark.parametrize("line", [b"not json\n", b"[1]\n", b'{"groups": []}\n'])
-def test_a_line_that_is_no_batch_ends_the_adapter(line: bytes) -> None:
+def test_input_that_is_not_a_batch_ends_the_adapter(line: bytes) -> None:
     run = subprocess.run(
         [sys.executable, "-m", "trackhatch.simhost"], input=line, capture_output=True, timeout=60, check=False
     )
     assert run.returncode != 0 and run.stdout == b"" and len(run.stderr.strip().splitlines()) == 1
 
 
-def test_an_empty_batch_is_answered_and_end_of_input_is_the_end() -> None:
+def test_empty_batch_is_answered_and_end_of_input_ends_the_adapter() -> None:
     run = subprocess.run(
         [sys.executable, "-m", "trackhatch.simhost"],
         input=b'{"t-ns":1,"groups":[]}\n', capture_output=True, timeout=60, check=False,
@@ -114,13 +114,13 @@
     assert run.returncode == 0 and json.loads(run.stdout) == {"groups": []}
 
 
-def test_the_readme_example_runs_as_it_says(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_prints_what_it_says(capsys: pytest.CaptureFixture[str]) -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text(encoding="utf-8")
     code = text.split("```python\n")[1].split("```")[0]
     exec(compile(code, "README.md", "exec"), {})
     assert capsys.readouterr().out.strip() == code.split("print(action)  # ")[1].strip()
 
 
-def test_a_class_without_a_width_is_named() -> None:
+def test_class_without_a_width_is_reported() -> None:
     with pytest.raises(ValueError, match="widths"):
         read_settings(INFO | {"family-info": INFO["family-info"] | {"widths": []}})
