--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -94,8 +94,8 @@
     controller.step(T0 + 80 * MS, [established("warm", 101)])
     controller.step(T0 + SECOND, [call("out", now=T0 + SECOND)])
     now = T0 + 1600 * MS
-    assert refused(controller.step(now, [call("cheap", now=now)])) == ["cheap"]
-    assert sent(controller.step(now, [call("dear", call_class=URGENT, now=now)])) == [("dear", 101)]
+    assert refused(controller.step(now, [call("low", now=now)])) == ["low"]
+    assert sent(controller.step(now, [call("urgent", call_class=URGENT, now=now)])) == [("urgent", 101)]
 
 
 def test_silent_endpoint_gets_no_calls_even_before_the_timeout() -> None:
@@ -426,8 +426,8 @@
     controller = new_controller()
     controller.step(T0, [group(101, 1), group(102, 0), group(103, 0)])
     now = T0 + 2 * SECOND
-    batch: list[interface.Event] = [call("cheap", now=now), call("dear", call_class=URGENT, now=now)]
-    assert sent(controller.step(now, batch)) == [("dear", 101)]
+    batch: list[interface.Event] = [call("low", now=now), call("urgent", call_class=URGENT, now=now)]
+    assert sent(controller.step(now, batch)) == [("urgent", 101)]
 
 
 def test_latency_that_includes_an_own_pause_does_not_close_an_endpoint() -> None:
