--- a/arrowrail/config/rules.py
+++ b/arrowrail/config/rules.py
@@ -15,7 +15,7 @@
 from arrowrail.config import units
 from arrowrail.config.faults import Faults, Place, shown
 from arrowrail.config.records import Application, CallClass, District, Exchange, Group, Pool, Site
-from arrowrail.pools.plan import fallback_order
+from arrowrail.pools.config import fallback_order
 from arrowrail.state.address import parse_address
 
 RESERVED = 16  # descriptors of the process itself: its log, the loop, listeners and sources of the list
--- a/arrowrail/config/show.py
+++ b/arrowrail/config/show.py
@@ -9,7 +9,7 @@
 from arrowrail.config.faults import Place
 from arrowrail.config.folder import Checked
 from arrowrail.config.schema import Kind, MapOf, Maybe, Record, RecordOf, keys_of
-from arrowrail.pools.plan import fallback_order
+from arrowrail.pools.config import fallback_order
 
 DEFAULT = "default"
 
--- a/arrowrail/config/writer.py
+++ b/arrowrail/config/writer.py
@@ -21,7 +21,7 @@
 from arrowrail.config.rules import Inventory, host_port, links_each
 from arrowrail.config.schema import NAME, RefTo, Text, keys_of
 from arrowrail.config.show import shown_values
-from arrowrail.pools.plan import fallback_order
+from arrowrail.pools.config import fallback_order
 
 MARK = "// written by arrowrail config write; digest "
 FIRST_PORT, LAST_PORT = 5081, 5999
--- a/arrowrail/lab/unlimited.py
+++ b/arrowrail/lab/unlimited.py
@@ -5,7 +5,7 @@
 import sys
 from pathlib import Path
 
-from arrowrail.limits.limiter import YES, Limiter, Verdict
+from arrowrail.limits.limiter import ADMITTED_RESULT, AdmissionResult, Limiter
 from arrowrail.run.log import log_to
 from arrowrail.run.reading import read_now
 from arrowrail.sidecar.main import Sidecar
@@ -14,10 +14,10 @@
 class NoLimits(Limiter):
     """Lets everything in and counts nothing."""
 
-    def ask(self, now: int, kind: str, line: object) -> Verdict:
-        return YES
+    def admit(self, now: int, class_name: str, connection: object) -> AdmissionResult:
+        return ADMITTED_RESULT
 
-    def ended(self, now: int, kind: str, line: object, took_ns: int) -> None:
+    def setup_ended(self, now: int, class_name: str, connection: object, duration_ns: int) -> None:
         pass
 
 
--- a/arrowrail/limits/__init__.py
+++ b/arrowrail/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What one application may bring in: decided without I/O or clocks."""
+"""Admission limits for the set-ups of one application.  Free of I/O and clocks."""
--- a/arrowrail/limits/buckets.py
+++ b/arrowrail/limits/buckets.py
@@ -1,89 +1,93 @@
-"""Set-ups a second: a bucket for each class, and one for what classes leave unused.
+"""Set-up rate limiting: a token bucket for each class and a shared bucket for unused tokens.
 
-A class's bucket fills at its own rate.  What would run over flows into the lent bucket, from which any class
-may draw, those of little worth only while enough is left for the others.  So an unused rate is lent as it
-comes, and is back with its owner as soon as it draws again: nothing has to be called in.
+Each class's bucket fills at the class's own rate and overflows into the shared bucket, from which any class
+may borrow.  Classes of lower worth may borrow only while enough is left for the others.  Tokens are lent only
+as they overflow, so a class has its own rate back as soon as it draws again; nothing has to be reclaimed.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from arrowrail.limits.plan import NANO, TOKEN, Plan
+from arrowrail.limits.config import NANOS_PER_UNIT, SETUP_COST, LimitsConfig
 
 
 @dataclass(slots=True)
-class Bucket:
-    rate: int  # set-ups in 1e9 s
+class TokenBucket:
+    rate: int  # set-ups per 1e9 s
     depth: int
     tokens: int
 
-    def fill(self, passed_ns: int) -> int:
-        """Tokens for the time that has passed; returns what ran over."""
-        tokens = self.tokens + self.rate * passed_ns // NANO
-        over = max(0, tokens - self.depth)
-        self.tokens = tokens - over
-        return over
-
-
-class Rates:
-    """Draws tokens for set-ups; full at the start, since nothing has been brought in yet."""
-
-    def __init__(self, plan: Plan, now: int) -> None:
-        self._at = now
-        self.own: dict[str, Bucket] = {}
-        self.lent = Bucket(0, 0, 0)
-        self.use(plan)
-
-    def use(self, plan: Plan) -> None:
-        """A new plan: each bucket keeps what it held, within its new depth; one of a new class is full."""
-        before, had = self.own, self.lent
-        self.plan = plan
-        self.own = {}
-        for name, limit in plan.classes.items():
-            depth = plan.depth(limit.rate) if limit.rate else 0
-            known = before.get(name)
-            tokens = depth if known is None else min(depth, known.tokens)
-            self.own[name] = Bucket(limit.rate, depth, tokens)
-        # Whole rates are divided downwards: what is left over belongs to nobody and is lent.
-        spare = plan.rate - sum(c.rate for c in plan.classes.values())
-        depth = plan.depth(plan.rate)
-        self.lent = Bucket(max(0, spare), depth, min(depth, had.tokens))
-
-    def fill(self, now: int) -> None:
-        passed = now - self._at
-        if passed <= 0:
+    def refill(self, elapsed_ns: int) -> int:
+        """Adds the tokens for the elapsed time; returns the overflow."""
+        tokens = self.tokens + self.rate * elapsed_ns // NANOS_PER_UNIT
+        overflow = max(0, tokens - self.depth)
+        self.tokens = tokens - overflow
+        return overflow
+
+
+class RateLimiter:
+    """Token buckets of all classes; full at the start, as nothing has been admitted yet."""
+
+    def __init__(self, config: LimitsConfig, now: int) -> None:
+        self._last_refill = now
+        self.class_buckets: dict[str, TokenBucket] = {}
+        self.shared = TokenBucket(0, 0, 0)
+        self.update_config(config)
+
+    def update_config(self, config: LimitsConfig) -> None:
+        """Applies new limits: buckets keep their tokens up to the new depth; that of a new class is full."""
+        previous_buckets, previous_shared = self.class_buckets, self.shared
+        self.config = config
+        self.class_buckets = {}
+        for name, limit in config.classes.items():
+            depth = config.bucket_depth(limit.reserved_rate) if limit.reserved_rate else 0
+            previous = previous_buckets.get(name)
+            tokens = depth if previous is None else min(depth, previous.tokens)
+            self.class_buckets[name] = TokenBucket(limit.reserved_rate, depth, tokens)
+        # Dividing the rate rounds down; the remainder belongs to no class and goes to the shared bucket.
+        remainder = config.rate - sum(c.reserved_rate for c in config.classes.values())
+        depth = config.bucket_depth(config.rate)
+        self.shared = TokenBucket(max(0, remainder), depth, min(depth, previous_shared.tokens))
+
+    def refill(self, now: int) -> None:
+        elapsed = now - self._last_refill
+        if elapsed <= 0:
             return
-        self._at = now
-        # After a long time every bucket is full: more than that makes no difference.
-        passed = min(passed, 10 * self.plan.burst_ns + 10 * NANO)
-        over = sum(bucket.fill(passed) for bucket in self.own.values())
-        self.lent.fill(passed)
-        self.lent.tokens = min(self.lent.depth, self.lent.tokens + over)
-
-    def kept_back(self, rank: int) -> int:
-        """Tokens of the lent bucket that a class of this rank leaves for those of more worth."""
-        ranks = max((c.rank for c in self.plan.classes.values()), default=0)
-        return self.lent.depth * rank // (2 * (ranks + 1)) if ranks else 0
-
-    def draw(self, name: str, spare: bool = False) -> bool:
-        """Take a token for one set-up, from the own bucket first; false: there is none.
-
-        ``spare``: only of what is plenty, so that a quarter of each bucket stays for others.
+        self._last_refill = now
+        # After a long time every bucket is full; any further time makes no difference.
+        elapsed = min(elapsed, 10 * self.config.burst_ns + 10 * NANOS_PER_UNIT)
+        overflow = sum(bucket.refill(elapsed) for bucket in self.class_buckets.values())
+        self.shared.refill(elapsed)
+        self.shared.tokens = min(self.shared.depth, self.shared.tokens + overflow)
+
+    def reserved_for_higher_ranks(self, rank: int) -> int:
+        """Returns the shared tokens that a class of this rank has to leave to classes of higher worth."""
+        lowest_rank = max((c.rank for c in self.config.classes.values()), default=0)
+        return self.shared.depth * rank // (2 * (lowest_rank + 1)) if lowest_rank else 0
+
+    def try_acquire(self, class_name: str, surplus_only: bool = False) -> bool:
+        """Takes the tokens for one set-up, from the class's own bucket first; false if there are too few.
+
+        With ``surplus_only`` a quarter of each bucket is left to others.
         """
-        own, lent = self.own[name], self.lent
-        if own.tokens - TOKEN >= (own.depth // 4 if spare else 0):
-            own.tokens -= TOKEN
+        own, shared = self.class_buckets[class_name], self.shared
+        if own.tokens - SETUP_COST >= (own.depth // 4 if surplus_only else 0):
+            own.tokens -= SETUP_COST
             return True
-        need = TOKEN if spare else TOKEN - own.tokens
-        left = self.kept_back(self.plan.classes[name].rank) + (lent.depth // 4 if spare else 0)
-        if lent.tokens - need < left:
+        borrowed = SETUP_COST if surplus_only else SETUP_COST - own.tokens
+        reserved = self.reserved_for_higher_ranks(self.config.classes[class_name].rank) + (
+            shared.depth // 4 if surplus_only else 0
+        )
+        if shared.tokens - borrowed < reserved:
             return False
-        lent.tokens -= need
-        own.tokens -= TOKEN - need
+        shared.tokens -= borrowed
+        own.tokens -= SETUP_COST - borrowed
         return True
 
-    def wait_ns(self, name: str) -> int:
-        """Time until the class's own rate has made a token."""
-        own = self.own[name]
-        return max(0, TOKEN - own.tokens) * NANO // (own.rate or max(1, self.plan.rate // 20))
+    def time_to_setup_ns(self, class_name: str) -> int:
+        """Returns the time until the class's own rate provides the tokens for one set-up."""
+        own = self.class_buckets[class_name]
+        return (
+            max(0, SETUP_COST - own.tokens) * NANOS_PER_UNIT // (own.rate or max(1, self.config.rate // 20))
+        )
--- a/arrowrail/limits/limiter.py
+++ b/arrowrail/limits/limiter.py
@@ -1,154 +1,173 @@
-"""Whether a set-up may come in, and when its caller should come back if not.
+"""Admission of set-ups, and the retry delay for refused callers.
 
-The order of the questions is the order of the answers' worth to an operator: the connection's own part, what
-is open, what comes a second.  Nothing is held back: each is answered at once, yes or no, with its reason.
+The checks run in the order in which their reasons are useful to an operator: the connection's share, the
+open set-ups, the rate.  Set-ups are never queued: each is admitted or refused at once, with a reason.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from arrowrail.limits.buckets import Rates
-from arrowrail.limits.lines import Lines
-from arrowrail.limits.plan import NANO, TOKEN, ClassLimit, Plan, S
-
-ADMITTED, LINE_OPEN, OPEN, LINE_RATE, RATE = "admitted", "line_open", "open", "line_rate", "rate"
-REASONS = {
-    LINE_OPEN: "the connection holds its part of the open set-ups",
-    OPEN: "the application's open set-ups are at their limit",
-    LINE_RATE: "the connection brings more than its part of the set-ups a second",
-    RATE: "the application's set-ups a second are at their limit",
+from arrowrail.limits.buckets import RateLimiter
+from arrowrail.limits.config import NANOS_PER_UNIT, SECOND_NS, SETUP_COST, ClassLimit, LimitsConfig
+from arrowrail.limits.connections import ConnectionTracker
+
+ADMITTED, CONNECTION_OPEN, TOTAL_OPEN, CONNECTION_RATE, TOTAL_RATE = (
+    "admitted",
+    "line_open",
+    "open",
+    "line_rate",
+    "rate",
+)
+REASON_TEXTS = {
+    CONNECTION_OPEN: "the connection has reached its share of the open set-ups",
+    TOTAL_OPEN: "the application's open set-ups are at their limit",
+    CONNECTION_RATE: "the connection exceeds its share of the set-up rate",
+    TOTAL_RATE: "the application's set-up rate is at its limit",
 }
-NEED_KEPT_NS = 10 * S  # how long the most that a class had open lately is kept free for it
-SWEEP_NS = 5 * S
-FIRST_MEAN_NS = S // 2  # of a set-up's time, until some have ended
+DEMAND_WINDOW_NS = 10 * SECOND_NS  # how long a class's recent peak of open set-ups is kept free for it
+EVICTION_INTERVAL_NS = 5 * SECOND_NS
+INITIAL_MEAN_NS = SECOND_NS // 2  # assumed duration of a set-up until some have ended
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """``wait_ns`` is what a refused caller is told to stay away; 0: nothing."""
+class AdmissionResult:
+    """``retry_after_ns`` is the delay to send to a refused caller; 0: none."""
 
     reason: str
-    wait_ns: int = 0
+    retry_after_ns: int = 0
 
     @property
     def admitted(self) -> bool:
         return self.reason == ADMITTED
 
 
-YES = Verdict(ADMITTED)
+ADMITTED_RESULT = AdmissionResult(ADMITTED)
 
 
 @dataclass(slots=True)
-class Need:
-    """Open set-ups of a class, and the most that it had lately: so much of its own is not lent."""
+class ClassDemand:
+    """Open set-ups of a class and their recent peak; reserved capacity up to this demand is not lent."""
 
-    open: int = 0
-    most: int = 0
-    before: int = 0  # the most of the time span before
-    since: int = 0
+    open_count: int = 0
+    peak: int = 0
+    previous_peak: int = 0  # peak of the previous window
+    window_start: int = 0
 
-    def lately(self, now: int) -> int:
-        if now - self.since >= NEED_KEPT_NS:
-            # After two spans without a look, what was is older than it counts.
-            self.before = self.most if now - self.since < 2 * NEED_KEPT_NS else self.open
-            self.most, self.since = self.open, now
-        return max(self.open, self.most, self.before)
+    def recent_peak(self, now: int) -> int:
+        if now - self.window_start >= DEMAND_WINDOW_NS:
+            # If no call fell into the last two windows, the stored peak is too old to count.
+            self.previous_peak = (
+                self.peak if now - self.window_start < 2 * DEMAND_WINDOW_NS else self.open_count
+            )
+            self.peak, self.window_start = self.open_count, now
+        return max(self.open_count, self.peak, self.previous_peak)
 
 
 class Limiter:
-    """Values and a time in, a verdict out; ``ended`` follows once for each that was admitted."""
-
-    def __init__(self, plan: Plan, now: int) -> None:
-        self.plan = plan
-        self.rates = Rates(plan, now)
-        self.lines = Lines()
-        self.needs = {name: Need(since=now) for name in plan.classes}
-        self.open = 0
-        self.refused: dict[str, int] = {}  # by reason, for operators
-        self.admitted = 0
-        self._owed: dict[str, tuple[int, int]] = {}  # by class: tokens for callers sent away, and when
-        self._mean_ns = FIRST_MEAN_NS
-        self._swept = now
-
-    def use(self, plan: Plan, now: int) -> None:
-        """A new plan from now on; what is open stays counted, also where it is over the new limit."""
-        self.plan = plan
-        self.rates.fill(now)
-        self.rates.use(plan)
-        for name in plan.classes:
-            self.needs.setdefault(name, Need(since=now))
-
-    def ask(self, now: int, kind: str, line: object) -> Verdict:
-        """A set-up of a class on a connection; an unknown class counts as the one of least worth."""
-        limit = self.plan.classes.get(kind) or max(self.plan.classes.values(), key=lambda c: c.rank)
-        if now - self._swept > SWEEP_NS:
-            self._swept = now
-            self.lines.forget_idle(now)
-        self.rates.fill(now)
-        reason = self._why_not(now, limit, line)
+    """Admits or refuses set-ups; ``setup_ended`` must be called once for each admitted one."""
+
+    def __init__(self, config: LimitsConfig, now: int) -> None:
+        self.config = config
+        self.rate_limiter = RateLimiter(config, now)
+        self.connections = ConnectionTracker()
+        self.demand = {name: ClassDemand(window_start=now) for name in config.classes}
+        self.open_count = 0
+        self.refused_count: dict[str, int] = {}  # by reason, for operators
+        self.admitted_count = 0
+        # By class: bucket units for refused callers that are expected to retry, and when last updated.
+        self._retry_backlog: dict[str, tuple[int, int]] = {}
+        self._mean_setup_ns = INITIAL_MEAN_NS
+        self._last_eviction = now
+
+    def update_config(self, config: LimitsConfig, now: int) -> None:
+        """Applies new limits; open set-ups stay counted, even where they exceed the new limit."""
+        self.config = config
+        self.rate_limiter.refill(now)
+        self.rate_limiter.update_config(config)
+        for name in config.classes:
+            self.demand.setdefault(name, ClassDemand(window_start=now))
+
+    def admit(self, now: int, class_name: str, connection: object) -> AdmissionResult:
+        """Admits or refuses a set-up on a connection; an unknown class counts as the one of lowest worth."""
+        limit = self.config.classes.get(class_name) or max(self.config.classes.values(), key=lambda c: c.rank)
+        if now - self._last_eviction > EVICTION_INTERVAL_NS:
+            self._last_eviction = now
+            self.connections.evict_idle(now)
+        self.rate_limiter.refill(now)
+        reason = self._refusal_reason(now, limit, connection)
         if reason:
             return self._refuse(now, reason, limit)
-        need = self.needs[limit.name]
-        need.open += 1
-        need.most = max(need.most, need.open)
-        self.open += 1
-        self.admitted += 1
-        self.lines.took(now, line)
-        return YES
-
-    def _why_not(self, now: int, limit: ClassLimit, line: object) -> str:
-        if not self.lines.may_hold(line, self.plan.open - self.open, self.plan.line_share):
-            return LINE_OPEN
-        if not self._has_place(now, limit):
-            return OPEN
-        fair = self.lines.is_fair(now, line)
-        if self.rates.draw(limit.name, spare=not fair):
+        demand = self.demand[limit.name]
+        demand.open_count += 1
+        demand.peak = max(demand.peak, demand.open_count)
+        self.open_count += 1
+        self.admitted_count += 1
+        self.connections.setup_admitted(now, connection)
+        return ADMITTED_RESULT
+
+    def _refusal_reason(self, now: int, limit: ClassLimit, connection: object) -> str:
+        if not self.connections.may_open(
+            connection, self.config.max_open - self.open_count, self.config.connection_share
+        ):
+            return CONNECTION_OPEN
+        if not self._has_capacity(now, limit):
+            return TOTAL_OPEN
+        fair = self.connections.within_fair_rate(now, connection)
+        if self.rate_limiter.try_acquire(limit.name, surplus_only=not fair):
             return ""
-        return RATE if fair else LINE_RATE
+        return TOTAL_RATE if fair else CONNECTION_RATE
 
-    def _has_place(self, now: int, limit: ClassLimit) -> bool:
-        """A class has its own places; beyond them it may borrow what the others did not need lately."""
-        if self.open >= self.plan.open:
+    def _has_capacity(self, now: int, limit: ClassLimit) -> bool:
+        """Whether the class has reserved capacity left, or can borrow what others have not used recently."""
+        if self.open_count >= self.config.max_open:
             return False
-        if self.needs[limit.name].open < limit.open:
+        if self.demand[limit.name].open_count < limit.reserved_open:
             return True
-        free = self.plan.open - self.open
-        kept = 0
-        for other in self.plan.classes.values():
-            if other.name == limit.name or not other.open:
+        free = self.config.max_open - self.open_count
+        kept_free = 0
+        for other in self.config.classes.values():
+            if other.name == limit.name or not other.reserved_open:
                 continue
-            need = self.needs[other.name]
-            # Room to grow: a class that comes back finds some of its own at once, and more as it takes it.
-            wanted = min(other.open, max(2 * need.lately(now), -(-other.open // 8)))
-            kept += max(0, wanted - need.open)
-        # Trunk reservation: of what is lent, each rank leaves a little more to those of more worth.
-        reserved = self.plan.open * limit.rank // (16 * max(1, len(self.plan.classes)))
-        return free > kept + reserved
-
-    def ended(self, now: int, kind: str, line: object, took_ns: int) -> None:
-        """An admitted set-up has had its final answer, or its caller has gone."""
-        limit = self.plan.classes.get(kind) or max(self.plan.classes.values(), key=lambda c: c.rank)
-        need = self.needs[limit.name]
-        need.open = max(0, need.open - 1)
-        self.open = max(0, self.open - 1)
-        self.lines.ended(line)
-        self._mean_ns += (took_ns - self._mean_ns) // 16
-
-    def _refuse(self, now: int, reason: str, limit: ClassLimit) -> Verdict:
-        """Callers that are turned away are asked back at the pace at which they can be let in."""
-        self.refused[reason] = self.refused.get(reason, 0) + 1
-        owed, at = self._owed.get(limit.name, (0, now))
-        # Those sent away before come back in their turn: they are counted down at the class's rate.
-        rate = limit.rate or max(1, self.plan.rate // 20)
-        owed = max(0, owed - (now - at) * rate // NANO)
-        self._owed[limit.name] = (min(owed + TOKEN, self.plan.depth(rate) * 16), now)
-        if not self.plan.longest_wait_ns:
-            return Verdict(reason)
-        if reason in (RATE, LINE_RATE):
-            wait = max(self.rates.wait_ns(limit.name), owed * NANO // rate)
+            demand = self.demand[other.name]
+            # Headroom: a class that becomes active again finds part of its reserved capacity at once, and
+            # more as it uses it.
+            expected = min(
+                other.reserved_open, max(2 * demand.recent_peak(now), -(-other.reserved_open // 8))
+            )
+            kept_free += max(0, expected - demand.open_count)
+        # Trunk reservation: each further rank leaves a little more of the lent capacity to higher worth.
+        trunk_reservation = self.config.max_open * limit.rank // (16 * max(1, len(self.config.classes)))
+        return free > kept_free + trunk_reservation
+
+    def setup_ended(self, now: int, class_name: str, connection: object, duration_ns: int) -> None:
+        """Records that an admitted set-up got its final answer or was abandoned by its caller."""
+        limit = self.config.classes.get(class_name) or max(self.config.classes.values(), key=lambda c: c.rank)
+        demand = self.demand[limit.name]
+        demand.open_count = max(0, demand.open_count - 1)
+        self.open_count = max(0, self.open_count - 1)
+        self.connections.setup_ended(connection)
+        self._mean_setup_ns += (duration_ns - self._mean_setup_ns) // 16
+
+    def _refuse(self, now: int, reason: str, limit: ClassLimit) -> AdmissionResult:
+        """Refuses a set-up; retry delays spread callers at the rate at which they can be admitted."""
+        self.refused_count[reason] = self.refused_count.get(reason, 0) + 1
+        backlog, updated_at = self._retry_backlog.get(limit.name, (0, now))
+        # Callers refused earlier retry in order: the backlog drains at the class's rate.
+        rate = limit.reserved_rate or max(1, self.config.rate // 20)
+        backlog = max(0, backlog - (now - updated_at) * rate // NANOS_PER_UNIT)
+        self._retry_backlog[limit.name] = (
+            min(backlog + SETUP_COST, self.config.bucket_depth(rate) * 16),
+            now,
+        )
+        if not self.config.max_retry_after_ns:
+            return AdmissionResult(reason)
+        if reason in (TOTAL_RATE, CONNECTION_RATE):
+            delay = max(self.rate_limiter.time_to_setup_ns(limit.name), backlog * NANOS_PER_UNIT // rate)
         else:
-            # One place comes free each time that one of the open set-ups ends.
-            places = max(1, self.open)
-            wait = max(self._mean_ns // 4, self._mean_ns * (owed // TOKEN + 1) // places)
-        return Verdict(reason, max(1_000_000, min(wait, self.plan.longest_wait_ns)))
+            # Capacity for one set-up becomes free each time one of the open set-ups ends.
+            open_count = max(1, self.open_count)
+            delay = max(
+                self._mean_setup_ns // 4, self._mean_setup_ns * (backlog // SETUP_COST + 1) // open_count
+            )
+        return AdmissionResult(reason, max(1_000_000, min(delay, self.config.max_retry_after_ns)))
--- a/arrowrail/pools/__init__.py
+++ b/arrowrail/pools/__init__.py
@@ -1,1 +1,1 @@
-"""Which exchanges a class may use now: decided without I/O or clocks."""
+"""Exchange pools: which exchanges each route may use.  Free of I/O and clocks."""
--- a/arrowrail/pools/health.py
+++ b/arrowrail/pools/health.py
@@ -1,49 +1,58 @@
-"""What calls have shown of an exchange, beside what the list says.
+"""Passive health checking of an exchange, based on the results of call attempts.
 
-The list may lag, and a machine that has vanished says nothing.  Attempts that found no connection, with none
-between them that was answered in any way, take an exchange out of its pools for a while; after it, one call
-at a time tries again.  What an exchange refuses does not count: that is load, and the decision module's own.
+The list of exchanges may lag, and a failed machine sends no update.  Consecutive attempts that find no
+connection, with no attempt between them that gets any answer, eject an exchange from its pools for a limited
+time.  After that it is on trial: the first call without a connection ejects it again for longer, an answer
+restores it.  Refusals do not count as failures: they indicate load, which the decision module handles.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MISSES = 3  # attempts without a connection, one behind the other, that take it out
-FIRST_OUT_NS = 2_000_000_000  # ns; doubled with each trial that fails
-LONGEST_OUT_NS = 30_000_000_000
+EJECTION_THRESHOLD = 3  # consecutive attempts without a connection before an exchange is ejected
+BASE_EJECTION_NS = 2_000_000_000  # ns; doubled with each failed trial
+MAX_EJECTION_NS = 30_000_000_000
 
 
 @dataclass(slots=True)
-class Health:
-    missed: int = 0
-    out_until: int = 0  # 0: in use
-    out_ns: int = FIRST_OUT_NS
-    trial: bool = False  # the time is over, and one call tries
+class ExchangeHealth:
+    consecutive_failures: int = 0
+    ejected_until: int = 0  # 0: in use
+    ejection_ns: int = BASE_EJECTION_NS
+    on_trial: bool = False  # the ejection time is over, and the next attempt decides
 
     def usable(self) -> bool:
-        return self.out_until == 0 or self.trial
-
-    def miss(self, now: int) -> bool:
-        """An attempt found no connection; whether that takes the exchange out."""
-        self.missed += 1
-        if self.trial:
-            self.out_ns = min(2 * self.out_ns, LONGEST_OUT_NS)
-        elif self.missed < MISSES or self.out_until:
+        return self.ejected_until == 0 or self.on_trial
+
+    def record_connect_failure(self, now: int) -> bool:
+        """Records an attempt that found no connection; returns whether it ejects the exchange."""
+        self.consecutive_failures += 1
+        if self.on_trial:
+            self.ejection_ns = min(2 * self.ejection_ns, MAX_EJECTION_NS)
+        elif self.consecutive_failures < EJECTION_THRESHOLD or self.ejected_until:
             return False
-        self.trial = False
-        self.out_until = now + self.out_ns
+        self.on_trial = False
+        self.ejected_until = now + self.ejection_ns
         return True
 
-    def heard(self) -> bool:
-        """It answered, or refused, or was cut off later: it is there.  Whether that brings it back."""
-        back = self.out_until != 0
-        self.missed, self.out_until, self.trial, self.out_ns = 0, 0, False, FIRST_OUT_NS
-        return back
-
-    def due(self, now: int) -> bool:
-        """Whether its time out is over: it may be tried from now on."""
-        if self.out_until == 0 or self.trial or now < self.out_until:
+    def record_answer(self) -> bool:
+        """Records an answer, refusal or later disconnection: each proves that the exchange is reachable.
+
+        Returns whether this ends an ejection or a trial.
+        """
+        restored = self.ejected_until != 0
+        self.consecutive_failures, self.ejected_until, self.on_trial, self.ejection_ns = (
+            0,
+            0,
+            False,
+            BASE_EJECTION_NS,
+        )
+        return restored
+
+    def start_trial_if_due(self, now: int) -> bool:
+        """Starts the trial once the ejection time is over; returns whether it has just started."""
+        if self.ejected_until == 0 or self.on_trial or now < self.ejected_until:
             return False
-        self.trial = True
+        self.on_trial = True
         return True
--- a/arrowrail/sidecar/admission.py
+++ b/arrowrail/sidecar/admission.py
@@ -7,7 +7,7 @@
 
 from arrowrail.core.requests import LINK_BROKE, NO_ROUTE, OVER_LIMIT, REFUSED, Answer, Offer
 from arrowrail.limits.limiter import Limiter
-from arrowrail.pools.book import Allowed, Book
+from arrowrail.pools.route_table import RouteAvailability, RouteTable
 from arrowrail.sidecar.compile import Compiled
 from arrowrail.sidecar.listing import SOURCE, Listing
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, Endpoint, EndpointEntry
@@ -23,7 +23,7 @@
     def __init__(self, compiled: Compiled, now: int) -> None:
         self.compiled = compiled
         self.limiter = Limiter(compiled.limits, now)
-        self.book = Book(compiled.pools)
+        self.route_table = RouteTable(compiled.pools)
         self.listing = Listing()
         self.refused: dict[str, int] = {}  # by reason, for operators
         self._proved: dict[int, int] = {}  # by exchange: when a call of ours last got an answer there
@@ -32,8 +32,8 @@
     def use(self, compiled: Compiled, now: int) -> tuple[list[EndpointEntry], list[i.PoolNews]]:
         """A reload: what is open goes on under what it began with; the news is for what comes."""
         self.compiled = compiled
-        self.limiter.use(compiled.limits, now)
-        news = _news(self.book.use(compiled.pools))
+        self.limiter.update_config(compiled.limits, now)
+        news = _news(self.route_table.update_config(compiled.pools))
         return self.listing.use(compiled.lines), news
 
     # --- The core's questions ---------------------------------------------------------------------------
@@ -43,21 +43,21 @@
 
     def enter(self, now: int, line: object, offer: Offer) -> tuple[Offer, Answer | None]:
         facts = self.compiled.classes.get(offer.class_name)
-        placed = self.book.place(offer.class_name, offer.number, offer.district)
-        if facts is None or placed.why_not:
-            self._count(placed.why_not or "class not carried")
+        routing = self.route_table.route_call(offer.class_name, offer.number, offer.district)
+        if facts is None or routing.failure_reason:
+            self._count(routing.failure_reason or "class not carried")
             return offer, NO_WAY
-        verdict = self.limiter.ask(now, offer.class_name, line)
-        if not verdict.admitted:
-            self._count(verdict.reason)
-            return offer, Answer(REFUSED, stay_away_ns=verdict.wait_ns, outcome=OVER_LIMIT)
+        result = self.limiter.admit(now, offer.class_name, line)
+        if not result.admitted:
+            self._count(result.reason)
+            return offer, Answer(REFUSED, stay_away_ns=result.retry_after_ns, outcome=OVER_LIMIT)
         deadline = min(offer.deadline_ns, now + facts.give_up_ns)
         return replace(
-            offer, route=placed.route, destination=placed.exchange, width=facts.width, deadline_ns=deadline
+            offer, route=routing.route, destination=routing.exchange, width=facts.width, deadline_ns=deadline
         ), None
 
     def settled(self, now: int, line: object, offer: Offer, took_ns: int) -> None:
-        self.limiter.ended(now, offer.class_name, line, took_ns)
+        self.limiter.setup_ended(now, offer.class_name, line, took_ns)
 
     def time_out_ns(self, offer: Offer) -> int:
         facts = self.compiled.classes.get(offer.class_name)
@@ -84,29 +84,31 @@
         for exchange in sorted(changed):
             known = set(self._offices[exchange].values())
             states.append((exchange, next(s for s in BY_USE if s in known)))
-        return _news(self.book.told(states))
+        return _news(self.route_table.update_states(states))
 
     def attempt_over(self, now: int, desk: Endpoint, outcome: str, cause: int) -> list[i.PoolNews]:
         if outcome == "no_connection":
-            return _news(self.book.missed(now, desk.told.exchange))
+            return _news(self.route_table.record_connect_failure(now, desk.told.exchange))
         if outcome in NO_NEWS or cause == LINK_BROKE:
             return []
         self._proved[desk.told.exchange] = now
-        return _news(self.book.heard(desk.told.exchange))
+        return _news(self.route_table.record_answer(desk.told.exchange))
 
     def doubted(self, now: int, exchanges: Iterable[int]) -> list[i.PoolNews]:
         """Exchanges that others' probes found silent; where our own calls are answered, those know better."""
         lately = now - PROOF_NS
-        return _news(self.book.doubted(e for e in exchanges if self._proved.get(e, 0) < lately))
+        return _news(
+            self.route_table.set_probe_failures(e for e in exchanges if self._proved.get(e, 0) < lately)
+        )
 
     # --- Now and then -----------------------------------------------------------------------------------
 
     def due(self, now: int) -> list[i.PoolNews]:
-        return _news(self.book.due(now))
+        return _news(self.route_table.start_due_trials(now))
 
     def _count(self, reason: str) -> None:
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
 
-def _news(changed: Mapping[str, Allowed]) -> list[i.PoolNews]:
-    return [i.PoolNews(route, allowed.exchanges) for route, allowed in changed.items()]
+def _news(changed: Mapping[str, RouteAvailability]) -> list[i.PoolNews]:
+    return [i.PoolNews(route, availability.exchanges) for route, availability in changed.items()]
--- a/arrowrail/sidecar/compile.py
+++ b/arrowrail/sidecar/compile.py
@@ -11,9 +11,9 @@
 from arrowrail.config.records import Application, Exchange, Site
 from arrowrail.config.rules import Inventory, links_each
 from arrowrail.group.plan import GroupPlan
-from arrowrail.limits import plan as limits
-from arrowrail.pools import plan as pools
-from arrowrail.pools.plan import fallback_order, route_name
+from arrowrail.limits import config as limits
+from arrowrail.pools import config as pools
+from arrowrail.pools.config import fallback_order, route_name
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING
 from trackhatch import interface as i
 
@@ -70,8 +70,8 @@
     application: str
     site: str
     settings: i.Settings
-    limits: limits.Plan
-    pools: pools.Plan
+    limits: limits.LimitsConfig
+    pools: pools.RoutingConfig
     classes: Mapping[str, ClassFacts]
     lines: tuple[Line, ...]
     links: Links
@@ -124,23 +124,23 @@
     return Line(e.name, number, e.address, zone, STATES[e.state], e.signalling, e.point_code or 0, e.circuits)
 
 
-def _pools(a: Application, v: Inventory, numbers: Mapping[str, int]) -> pools.Plan:
-    used: dict[str, pools.PoolPlan] = {}
-    routes: dict[str, pools.RoutePlan] = {}
+def _pools(a: Application, v: Inventory, numbers: Mapping[str, int]) -> pools.RoutingConfig:
+    used: dict[str, pools.PoolConfig] = {}
+    routes: dict[str, pools.RouteConfig] = {}
     for calls in a.calls.values():
         for district, first in calls.pools.items():
             order = fallback_order(v.fallbacks, first)
             name = route_name(calls.name, district)
-            routes[name] = pools.RoutePlan(name, calls.name, district, order)
+            routes[name] = pools.RouteConfig(name, calls.name, district, order)
             for pool in order:
                 members = tuple(
-                    pools.Member(numbers[e], v.exchanges[e].weight)
+                    pools.PoolMember(numbers[e], v.exchanges[e].weight)
                     for e in v.pools[pool].exchanges
                     if e in v.exchanges
                 )
-                used[pool] = pools.PoolPlan(pool, members, v.pools[pool].keep)
+                used[pool] = pools.PoolConfig(pool, members, v.pools[pool].keep)
     prefixes = {p: d for d in a.serves if d in v.districts for p in v.districts[d].numbers}
-    return pools.Plan(used, routes, prefixes)
+    return pools.RoutingConfig(used, routes, prefixes)
 
 
 def _classes(a: Application, v: Inventory) -> dict[str, ClassFacts]:
@@ -150,12 +150,12 @@
     }
 
 
-def _limits(a: Application, v: Inventory) -> limits.Plan:
+def _limits(a: Application, v: Inventory) -> limits.LimitsConfig:
     lim = a.limits
     worths = {c: float(v.classes[c].worth) for c in a.calls}
     shares = {n: (s.open, s.rate) for n, s in lim.shares.items()}
     wait = v.site.stay_away if v.site is not None else 0
-    return limits.make(lim.open, lim.rate, lim.burst, lim.connection_share, worths, shares, wait)
+    return limits.build_limits(lim.open, lim.rate, lim.burst, lim.connection_share, worths, shares, wait)
 
 
 def _links(a: Application, site: Site) -> Links:
@@ -166,7 +166,7 @@
     )  # fmt: skip
 
 
-def _settings(a: Application, v: Inventory, plan: pools.Plan) -> i.Settings:
+def _settings(a: Application, v: Inventory, plan: pools.RoutingConfig) -> i.Settings:
     """The decision module sees each class in each district as a class of its own: they have other pools."""
     site = v.site
     assert site is not None
@@ -181,7 +181,7 @@
         )  # fmt: skip
     return i.Settings(
         classes=tuple(kinds), tenants=(), over_share_worth=1.0, layout="groups", own_exchange=-1, own_zone="",
-        pools_by_class=tuple((-1,) for _ in kinds),  # none, until the book of pools has spoken
+        pools_by_class=tuple((-1,) for _ in kinds),  # none until the route table reports exchanges
         controllers=site.controllers, rank=0, discovery="push", must_ask_in_ns=0,
         release_ns=site.release_pause, resend_ns=site.resend, drain_grace_ns=site.drain_grace,
         start_capacity=float(site.start_capacity), cold_ns=site.cold, fall_multiple=float(site.fall_multiple),
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Pools: which exchanges a class may use now, from the list, the plan and what calls have shown."""
+"""Route table: available exchanges by list state, configuration and results of call attempts."""
 
 from __future__ import annotations
 
@@ -8,162 +8,186 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from arrowrail.pools.book import (
-    DOUBTED,
-    DRAINS,
+from arrowrail.pools.config import (
+    PoolConfig,
+    PoolMember,
+    RouteConfig,
+    RoutingConfig,
+    fallback_order,
+    find_district,
+    route_name,
+)
+from arrowrail.pools.health import EJECTION_THRESHOLD, MAX_EJECTION_NS, ExchangeHealth
+from arrowrail.pools.route_table import (
+    CLASS_NOT_CARRIED,
+    DRAINING,
     GONE,
     IN_USE,
     NO_DISTRICT,
-    NOT_CARRIED,
-    UNHEARD,
-    UNREACHED,
-    Book,
+    NOT_LISTED,
+    PROBES_FAILED,
+    UNREACHABLE,
+    RouteTable,
 )
-from arrowrail.pools.health import LONGEST_OUT_NS, MISSES, Health
-from arrowrail.pools.plan import Member, Plan, PoolPlan, RoutePlan, district_of, fallback_order, route_name
 
 S = 1_000_000_000
 ROUTE = route_name("call", "north")
 
 
-def pool(name: str, *members: int, keep: Fraction = Fraction(1, 2), weights: dict[int, int] | None = None):  # type: ignore[no-untyped-def]
-    return PoolPlan(name, tuple(Member(m, (weights or {}).get(m, 1)) for m in members), keep)
+def pool(  # type: ignore[no-untyped-def]
+    name: str, *members: int, min_share: Fraction = Fraction(1, 2), weights: dict[int, int] | None = None
+):
+    return PoolConfig(name, tuple(PoolMember(m, (weights or {}).get(m, 1)) for m in members), min_share)
 
 
-def plan(*pools: PoolPlan, order: tuple[str, ...] = ("one", "two")) -> Plan:
-    routes = {ROUTE: RoutePlan(ROUTE, "call", "north", order)}
-    return Plan({p.name: p for p in pools}, routes, {"09": "north", "096": "south"})
+def routing_config(*pools: PoolConfig, order: tuple[str, ...] = ("one", "two")) -> RoutingConfig:
+    routes = {ROUTE: RouteConfig(ROUTE, "call", "north", order)}
+    return RoutingConfig({p.name: p for p in pools}, routes, {"09": "north", "096": "south"})
 
 
-def book(
-    *pools: PoolPlan, up: tuple[int, ...] = (1, 2, 3, 4), order: tuple[str, ...] = ("one", "two")
-) -> Book:
-    found = Book(plan(*(pools or (pool("one", 1, 2), pool("two", 3, 4))), order=order))
-    found.told([(exchange, "in_service") for exchange in up])
-    return found
+def route_table(
+    *pools: PoolConfig, in_service: tuple[int, ...] = (1, 2, 3, 4), order: tuple[str, ...] = ("one", "two")
+) -> RouteTable:
+    table = RouteTable(routing_config(*(pools or (pool("one", 1, 2), pool("two", 3, 4))), order=order))
+    table.update_states([(exchange, "in_service") for exchange in in_service])
+    return table
 
 
-def test_nothing_may_be_used_before_the_list_has_spoken() -> None:
-    empty = Book(plan(pool("one", 1)))
-    assert empty.allowed(ROUTE).none and empty.state(1) == UNHEARD
-    assert empty.told([(1, "in_service")])[ROUTE].exchanges == (1,)
-    assert empty.told([(1, "in_service")]) == {}
+def test_no_exchange_is_available_before_the_first_list_update() -> None:
+    table = RouteTable(routing_config(pool("one", 1)))
+    assert table.availability(ROUTE).is_empty and table.exchange_state(1) == NOT_LISTED
+    assert table.update_states([(1, "in_service")])[ROUTE].exchanges == (1,)
+    assert table.update_states([(1, "in_service")]) == {}
 
 
-def test_the_first_pool_alone_while_it_carries_its_share() -> None:
-    b = book()
-    assert b.allowed(ROUTE).exchanges == (1, 2)
-    assert b.told([(1, "terminating")]) == {ROUTE: b.allowed(ROUTE)}
-    assert b.allowed(ROUTE).exchanges == (2,) and b.state(1) == DRAINS  # a half is what it keeps
+def test_only_the_first_pool_is_used_while_it_has_its_minimum_share() -> None:
+    table = route_table()
+    assert table.availability(ROUTE).exchanges == (1, 2)
+    assert table.update_states([(1, "terminating")]) == {ROUTE: table.availability(ROUTE)}
+    # Half of the weight is left, which is the minimum share.
+    assert table.availability(ROUTE).exchanges == (2,) and table.exchange_state(1) == DRAINING
 
 
-def test_below_its_share_the_fallback_joins_in_and_leaves_again() -> None:
-    b = book(pool("one", 1, 2, 5, keep=Fraction(2, 3)), pool("two", 3, 4), up=(1, 2, 3, 4, 5))
-    b.told([(1, "terminating"), (2, "terminated")])
-    assert b.allowed(ROUTE).exchanges == (5, 3, 4) and b.state(2) == GONE
-    assert b.allowed(ROUTE).why == "one: 1 of 3 in use (1 drains, 2 gone); two: 2 of 2 in use"
-    b.told([(1, "in_service")])
-    assert b.allowed(ROUTE).exchanges == (1, 5)
+def test_fallback_pool_is_added_below_the_minimum_share_and_removed_again() -> None:
+    table = route_table(
+        pool("one", 1, 2, 5, min_share=Fraction(2, 3)), pool("two", 3, 4), in_service=(1, 2, 3, 4, 5)
+    )
+    table.update_states([(1, "terminating"), (2, "terminated")])
+    assert table.availability(ROUTE).exchanges == (5, 3, 4) and table.exchange_state(2) == GONE
+    assert (
+        table.availability(ROUTE).explanation == "one: 1 of 3 in use (1 draining, 2 gone); two: 2 of 2 in use"
+    )
+    table.update_states([(1, "in_service")])
+    assert table.availability(ROUTE).exchanges == (1, 5)
 
 
-def test_with_none_left_the_fallback_is_all_and_then_nothing() -> None:
-    b = book()
-    b.told([(1, "terminated"), (2, "terminating")])
-    assert b.allowed(ROUTE).exchanges == (3, 4)
-    changed = b.told([(3, "terminated"), (4, "terminated")])
-    assert changed[ROUTE].none and b.place("call", "0911").exchange == -1
+def test_only_the_fallback_is_used_when_the_first_pool_is_empty_and_then_nothing() -> None:
+    table = route_table()
+    table.update_states([(1, "terminated"), (2, "terminating")])
+    assert table.availability(ROUTE).exchanges == (3, 4)
+    changed = table.update_states([(3, "terminated"), (4, "terminated")])
+    assert changed[ROUTE].is_empty and table.route_call("call", "0911").exchange == -1
 
 
-def test_a_keep_of_nothing_still_needs_one_exchange() -> None:
-    b = book(pool("one", 1, keep=Fraction(0)), pool("two", 3))
-    assert b.allowed(ROUTE).exchanges == (1,)
-    b.told([(1, "terminating")])
-    assert b.allowed(ROUTE).exchanges == (3,)
+def test_minimum_share_of_zero_still_requires_one_exchange() -> None:
+    table = route_table(pool("one", 1, min_share=Fraction(0)), pool("two", 3))
+    assert table.availability(ROUTE).exchanges == (1,)
+    table.update_states([(1, "terminating")])
+    assert table.availability(ROUTE).exchanges == (3,)
 
 
-def test_an_exchange_in_two_pools_counts_once() -> None:
-    b = book(pool("one", 1, 2, keep=Fraction(1)), pool("two", 2, 3))
-    b.told([(1, "terminating")])
-    assert b.allowed(ROUTE).exchanges == (2, 3)
+def test_exchange_in_two_pools_counts_once() -> None:
+    table = route_table(pool("one", 1, 2, min_share=Fraction(1)), pool("two", 2, 3))
+    table.update_states([(1, "terminating")])
+    assert table.availability(ROUTE).exchanges == (2, 3)
 
 
-def test_first_choices_go_by_weight_and_never_in_clumps() -> None:
-    b = book(pool("one", 1, 2, 3, weights={1: 4, 2: 2, 3: 1}), order=("one",))
-    chosen = [b.place("call", "0911").exchange for _ in range(70)]
+def test_first_choices_follow_weights_and_are_spread_evenly() -> None:
+    table = route_table(pool("one", 1, 2, 3, weights={1: 4, 2: 2, 3: 1}), order=("one",))
+    chosen = [table.route_call("call", "0911").exchange for _ in range(70)]
     assert Counter(chosen) == {1: 40, 2: 20, 3: 10}
     assert all(chosen[n : n + 3].count(2) < 3 for n in range(68)) and chosen[:7] == chosen[7:14]
 
 
-def test_a_number_s_longest_prefix_decides_and_a_named_district_goes_first() -> None:
-    b = book()
-    assert b.place("call", "0911").route == ROUTE
-    assert b.place("call", "0961").why_not == NOT_CARRIED  # south is known, and the class has no pool there
-    assert b.place("call", "0961", "north").route == ROUTE
-    assert b.place("call", "1").why_not == NO_DISTRICT
-    assert b.place("other", "0911").why_not == NOT_CARRIED
-    assert district_of({"": "all", "9": "nine"}, "95", 1) == "nine"
-
-
-def test_attempts_without_a_connection_take_an_exchange_out_and_a_trial_brings_it_back() -> None:
-    b, now = book(), 100 * S
-    for _ in range(MISSES - 1):
-        assert b.missed(now, 1) == {}
-    assert b.missed(now, 1)[ROUTE].exchanges == (2,) and b.state(1) == UNREACHED
-    assert b.next_due() > now and b.due(now) == {}
-    now = b.next_due()
-    assert b.due(now)[ROUTE].exchanges == (1, 2) and b.next_due() == 0
-    # The trial fails: out again, for longer than before.
-    assert b.missed(now, 1)[ROUTE].exchanges == (2,)
-    second = b.next_due() - now
-    now = b.next_due()
-    b.due(now)
-    assert b.missed(now, 1) and b.next_due() - now == 2 * second
-    assert b.heard(1)[ROUTE].exchanges == (1, 2) and b.heard(1) == {}
-
-
-def test_one_that_answers_between_misses_stays() -> None:
-    b = book()
-    for _ in range(5 * MISSES):
-        assert b.missed(S, 1) == {}
-        assert b.heard(1) == {}
-
-
-def test_the_time_out_is_bounded_and_the_list_starts_it_afresh() -> None:
-    health, now = Health(), S
+def test_longest_prefix_wins_and_a_given_district_takes_precedence() -> None:
+    table = route_table()
+    assert table.route_call("call", "0911").route == ROUTE
+    # The district south is known, but the class has no pool there.
+    assert table.route_call("call", "0961").failure_reason == CLASS_NOT_CARRIED
+    assert table.route_call("call", "0961", "north").route == ROUTE
+    assert table.route_call("call", "1").failure_reason == NO_DISTRICT
+    assert table.route_call("other", "0911").failure_reason == CLASS_NOT_CARRIED
+    assert find_district({"": "all", "9": "nine"}, "95", 1) == "nine"
+
+
+def test_connect_failures_eject_an_exchange_and_a_successful_trial_restores_it() -> None:
+    table, now = route_table(), 100 * S
+    for _ in range(EJECTION_THRESHOLD - 1):
+        assert table.record_connect_failure(now, 1) == {}
+    assert (
+        table.record_connect_failure(now, 1)[ROUTE].exchanges == (2,)
+        and table.exchange_state(1) == UNREACHABLE
+    )
+    assert table.next_trial_at() > now and table.start_due_trials(now) == {}
+    now = table.next_trial_at()
+    assert table.start_due_trials(now)[ROUTE].exchanges == (1, 2) and table.next_trial_at() == 0
+    # The trial fails: ejected again, for longer than before.
+    assert table.record_connect_failure(now, 1)[ROUTE].exchanges == (2,)
+    second_ejection_ns = table.next_trial_at() - now
+    now = table.next_trial_at()
+    table.start_due_trials(now)
+    assert table.record_connect_failure(now, 1) and table.next_trial_at() - now == 2 * second_ejection_ns
+    assert table.record_answer(1)[ROUTE].exchanges == (1, 2) and table.record_answer(1) == {}
+
+
+def test_exchange_that_answers_between_failures_stays_in_use() -> None:
+    table = route_table()
+    for _ in range(5 * EJECTION_THRESHOLD):
+        assert table.record_connect_failure(S, 1) == {}
+        assert table.record_answer(1) == {}
+
+
+def test_ejection_time_is_bounded_and_reset_by_the_list() -> None:
+    health, now = ExchangeHealth(), S
     for _ in range(20):
-        while not health.miss(now):
+        while not health.record_connect_failure(now):
             pass
-        now = health.out_until
-        assert health.due(now)
-    assert health.out_ns == LONGEST_OUT_NS
-    b = book()
-    for _ in range(MISSES):
-        b.missed(now, 1)
-    b.told([(1, "terminated")])
-    assert b.told([(1, "in_service")])[ROUTE].exchanges == (1, 2)
-
-
-def test_one_that_probes_found_silent_is_used_only_where_there_is_no_other() -> None:
-    b = book()
-    assert b.doubted([1])[ROUTE].exchanges == (2,) and b.state(1) == DOUBTED and b.doubted([1]) == {}
-    assert b.doubted([1, 2])[ROUTE].exchanges == (3, 4)
-    assert b.doubted([1, 2, 3, 4])[ROUTE].exchanges == (1, 2)  # all of them: the doubt is the prober's
-    b.told([(1, "terminating")])
-    assert b.allowed(ROUTE).exchanges == (2,)  # a drain stays a drain
-    b.doubted([])
-    assert b.allowed(ROUTE).exchanges == (2,)
-
-
-def test_a_reload_says_which_routes_go_elsewhere() -> None:
-    b = book()
-    assert b.use(plan(pool("one", 1, 2), pool("two", 3, 4))) == {}
-    changed = b.use(plan(pool("one", 2), pool("two", 3, 4)))
+        now = health.ejected_until
+        assert health.start_trial_if_due(now)
+    assert health.ejection_ns == MAX_EJECTION_NS
+    table = route_table()
+    for _ in range(EJECTION_THRESHOLD):
+        table.record_connect_failure(now, 1)
+    table.update_states([(1, "terminated")])
+    assert table.update_states([(1, "in_service")])[ROUTE].exchanges == (1, 2)
+
+
+def test_exchange_with_failed_probes_is_used_only_where_there_is_no_other() -> None:
+    table = route_table()
+    assert (
+        table.set_probe_failures([1])[ROUTE].exchanges == (2,)
+        and table.exchange_state(1) == PROBES_FAILED
+        and table.set_probe_failures([1]) == {}
+    )
+    assert table.set_probe_failures([1, 2])[ROUTE].exchanges == (3, 4)
+    # All probes fail: the fault is taken to be the probing instance's own.
+    assert table.set_probe_failures([1, 2, 3, 4])[ROUTE].exchanges == (1, 2)
+    table.update_states([(1, "terminating")])
+    assert table.availability(ROUTE).exchanges == (2,)  # probe failures don't override draining
+    table.set_probe_failures([])
+    assert table.availability(ROUTE).exchanges == (2,)
+
+
+def test_reload_reports_routes_with_changed_exchanges() -> None:
+    table = route_table()
+    assert table.update_config(routing_config(pool("one", 1, 2), pool("two", 3, 4))) == {}
+    changed = table.update_config(routing_config(pool("one", 2), pool("two", 3, 4)))
     assert changed[ROUTE].exchanges == (2,)
-    gone = b.use(Plan({}, {}, {}))
-    assert gone[ROUTE].none and b.place("call", "0911").why_not == NO_DISTRICT
+    gone = table.update_config(RoutingConfig({}, {}, {}))
+    assert gone[ROUTE].is_empty and table.route_call("call", "0911").failure_reason == NO_DISTRICT
 
 
-def test_fallbacks_follow_their_order_once_each() -> None:
+def test_fallback_order_lists_each_pool_once() -> None:
     pools = {"a": ("b", "c"), "b": ("d", "a"), "c": (), "d": ("c", "x")}
     assert fallback_order(pools, "a") == ("a", "b", "c", "d") and fallback_order(pools, "x") == ()
 
@@ -172,10 +196,10 @@
 STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("list"), st.integers(1, 4), STATES),
-        st.tuples(st.just("miss"), st.integers(1, 4), st.just("")),
-        st.tuples(st.just("hear"), st.integers(1, 4), st.just("")),
+        st.tuples(st.just("failure"), st.integers(1, 4), st.just("")),
+        st.tuples(st.just("answer"), st.integers(1, 4), st.just("")),
         st.tuples(st.just("due"), st.integers(1, 40), st.just("")),
-        st.tuples(st.just("plan"), st.integers(1, 4), st.just("")),
+        st.tuples(st.just("config"), st.integers(1, 4), st.just("")),
     ),
     max_size=60,
 )  # fmt: skip
@@ -183,27 +207,35 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(STEPS)
-def test_over_any_history_only_what_is_in_use_is_allowed_and_changes_are_told(
+def test_any_sequence_of_events_allows_only_exchanges_in_use_and_reports_changes(
     steps: list[tuple[str, int, str]],
 ) -> None:
-    b, now = book(), S
+    table, now = route_table(), S
     known: dict[str, tuple[int, ...]] = {ROUTE: (1, 2)}
-    for what, number, state in steps:
-        if what == "list":
-            changed = b.told([(number, state)])
-        elif what == "miss":
-            changed = b.missed(now, number)
-        elif what == "hear":
-            changed = b.heard(number)
-        elif what == "due":
+    for kind, number, state in steps:
+        if kind == "list":
+            changed = table.update_states([(number, state)])
+        elif kind == "failure":
+            changed = table.record_connect_failure(now, number)
+        elif kind == "answer":
+            changed = table.record_answer(number)
+        elif kind == "due":
             now += number * S
-            changed = b.due(now)
+            changed = table.start_due_trials(now)
         else:
-            changed = b.use(plan(pool("one", *range(1, number + 1)), pool("two", 3, 4)))
-        known |= {route: allowed.exchanges for route, allowed in changed.items()}
-        allowed = b.allowed(ROUTE)
-        assert known[ROUTE] == allowed.exchanges  # whoever follows the news knows what holds
-        assert len(set(allowed.exchanges)) == len(allowed.exchanges)
-        assert all(b.state(e) == IN_USE for e in allowed.exchanges)
-        if any(b.state(m.exchange) == IN_USE for p in ("one", "two") for m in b.plan.pools[p].members):
-            assert allowed.exchanges and b.place("call", "0911").exchange in allowed.exchanges
+            changed = table.update_config(
+                routing_config(pool("one", *range(1, number + 1)), pool("two", 3, 4))
+            )
+        known |= {route: availability.exchanges for route, availability in changed.items()}
+        availability = table.availability(ROUTE)
+        assert known[ROUTE] == availability.exchanges  # the reported changes add up to the current state
+        assert len(set(availability.exchanges)) == len(availability.exchanges)
+        assert all(table.exchange_state(e) == IN_USE for e in availability.exchanges)
+        if any(
+            table.exchange_state(m.exchange) == IN_USE
+            for p in ("one", "two")
+            for m in table.config.pools[p].members
+        ):
+            assert (
+                availability.exchanges and table.route_call("call", "0911").exchange in availability.exchanges
+            )
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -67,9 +67,11 @@
         300 * MS,
         500 * MS,
     )
-    assert c.pools.routes["alarm@fukuoka"].pools == ("f", "k") and c.pools.prefixes["092"] == "fukuoka"
+    assert (
+        c.pools.routes["alarm@fukuoka"].pools == ("f", "k") and c.pools.district_by_prefix["092"] == "fukuoka"
+    )
     assert [line.number for line in c.lines] == [1, 2, 3, 4] and c.lines[2].circuits == 60
-    assert c.classes["alarm"].width == 2 and c.limits.open == 100
+    assert c.classes["alarm"].width == 2 and c.limits.max_open == 100
 
 
 def test_a_running_sidecar_s_numbers_are_kept(tmp_path: Path) -> None:
@@ -138,8 +140,8 @@
 
 def test_the_door_places_calls_and_turns_away_what_has_no_way_or_no_room(tmp_path: Path) -> None:
     c = compiled(tmp_path)
-    admission = RecordsAdmission(replace(c, limits=replace(c.limits, open=3)), T0)
-    admission.book.told([(n, IN_SERVICE) for n in (1, 2, 3, 4)])
+    admission = RecordsAdmission(replace(c, limits=replace(c.limits, max_open=3)), T0)
+    admission.route_table.update_states([(n, IN_SERVICE) for n in (1, 2, 3, 4)])
     placed, refusal = admission.enter(T0, 1, offer())
     assert refusal is None
     assert (placed.route, placed.destination, placed.width) == ("alarm@fukuoka", 1, 2)
@@ -158,7 +160,7 @@
 
 def test_an_answer_to_a_call_of_our_own_outweighs_others_probes(tmp_path: Path) -> None:
     admission = RecordsAdmission(compiled(tmp_path), T0)
-    admission.book.told([(n, IN_SERVICE) for n in (1, 2, 3, 4)])
+    admission.route_table.update_states([(n, IN_SERVICE) for n in (1, 2, 3, 4)])
     told = EndpointEntry("f-1@127.0.0.1:6101", "127.0.0.1:6101", "z", 1, IN_SERVICE, 0)
     admission.attempt_over(T0, Endpoint(1, "site", told), "served", 0)
     assert admission.doubted(T0 + S, [1]) == []
@@ -327,7 +329,7 @@
         # Another connection of the application still has room.
         other = Caller(b.ports[0])
         invite(other, "f" * 16)
-        wait_until(lambda: b.sidecar.admission.limiter.admitted >= 3)
+        wait_until(lambda: b.sidecar.admission.limiter.admitted_count >= 3)
         assert link is not None and b.sidecar.admission.refused
 
 
@@ -373,7 +375,7 @@
         links = {name: b.exchanges[name].desk() for name in b.exchanges}
         news = [EndpointEntry(n, "", "z", 0, TERMINATING, 0) for n in ("f-1", "f-2")]
         b.sidecar.program.loop.deadlines.at(0, lambda: b.sidecar.core.list_news("bus", False, news))
-        wait_until(lambda: b.sidecar.admission.book.allowed("alarm@fukuoka").pools == ("k",))
+        wait_until(lambda: b.sidecar.admission.route_table.availability("alarm@fukuoka").pools == ("k",))
         invite(caller, "a" * 16)
         set_up(links["k-1"], "a" * 16)
 
