--- a/arrowrail/sidecar/admission.py
+++ b/arrowrail/sidecar/admission.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
-from arrowrail.core.requests import LINK_BROKE, NO_ROUTE, OVER_LIMIT, REFUSED, Answer, Offer
+from arrowrail.core.requests import CAUSE_CONNECTION_FAILED, NO_ROUTE, OVER_LIMIT, REFUSED, Answer, Offer
 from arrowrail.limits.limiter import Limiter
 from arrowrail.pools.route_table import RouteAvailability, RouteTable
 from arrowrail.sidecar.compile import Compiled
 from arrowrail.sidecar.listing import SOURCE, Listing
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, Endpoint, EndpointEntry
-from trackhatch import interface as i
+from trackhatch import interface
 
 NO_NEWS = ("not_sent", "no_answer", "called_off")  # outcomes that prove nothing of the way to an exchange
 BY_USE = (IN_SERVICE, TERMINATING, TERMINATED)  # of several machines of an exchange, the first counts
@@ -29,7 +29,7 @@
         self._proved: dict[int, int] = {}  # by exchange: when a call of ours last got an answer there
         self._offices: dict[int, dict[int, str]] = {}  # by exchange: the state of each machine there
 
-    def use(self, compiled: Compiled, now: int) -> tuple[list[EndpointEntry], list[i.PoolNews]]:
+    def use(self, compiled: Compiled, now: int) -> tuple[list[EndpointEntry], list[interface.PoolUpdate]]:
         """A reload: what is open goes on under what it began with; the news is for what comes."""
         self.compiled = compiled
         self.limiter.update_config(compiled.limits, now)
@@ -71,7 +71,7 @@
             return SOURCE, False, list(lines)
         return SOURCE, False, self.listing.heard(whole, lines)
 
-    def told(self, desks: Iterable[Endpoint]) -> list[i.PoolNews]:
+    def told(self, desks: Iterable[Endpoint]) -> list[interface.PoolUpdate]:
         """An exchange is in use while any machine of it is in service: the old one may drain beside it."""
         changed = set()
         for desk in desks:
@@ -86,15 +86,15 @@
             states.append((exchange, next(s for s in BY_USE if s in known)))
         return _news(self.route_table.update_states(states))
 
-    def attempt_over(self, now: int, desk: Endpoint, outcome: str, cause: int) -> list[i.PoolNews]:
+    def attempt_over(self, now: int, desk: Endpoint, outcome: str, cause: int) -> list[interface.PoolUpdate]:
         if outcome == "no_connection":
             return _news(self.route_table.record_connect_failure(now, desk.told.exchange))
-        if outcome in NO_NEWS or cause == LINK_BROKE:
+        if outcome in NO_NEWS or cause == CAUSE_CONNECTION_FAILED:
             return []
         self._proved[desk.told.exchange] = now
         return _news(self.route_table.record_answer(desk.told.exchange))
 
-    def doubted(self, now: int, exchanges: Iterable[int]) -> list[i.PoolNews]:
+    def doubted(self, now: int, exchanges: Iterable[int]) -> list[interface.PoolUpdate]:
         """Exchanges that others' probes found silent; where our own calls are answered, those know better."""
         lately = now - PROOF_NS
         return _news(
@@ -103,12 +103,12 @@
 
     # --- Now and then -----------------------------------------------------------------------------------
 
-    def due(self, now: int) -> list[i.PoolNews]:
+    def due(self, now: int) -> list[interface.PoolUpdate]:
         return _news(self.route_table.start_due_trials(now))
 
     def _count(self, reason: str) -> None:
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
 
-def _news(changed: Mapping[str, RouteAvailability]) -> list[i.PoolNews]:
-    return [i.PoolNews(route, availability.exchanges) for route, availability in changed.items()]
+def _news(changed: Mapping[str, RouteAvailability]) -> list[interface.PoolUpdate]:
+    return [interface.PoolUpdate(route, availability.exchanges) for route, availability in changed.items()]
