--- a/arrowrail/limits/buckets.py
+++ b/arrowrail/limits/buckets.py
@@ -27,7 +27,7 @@
 
 
 class RateLimiter:
-    """Token buckets of all classes; full at the start, as nothing has been admitted yet."""
+    """Token buckets of all classes; class buckets start full, as nothing has been admitted yet."""
 
     def __init__(self, config: LimitsConfig, now: int) -> None:
         self._last_refill = now
--- a/arrowrail/limits/connections.py
+++ b/arrowrail/limits/connections.py
@@ -13,10 +13,10 @@
 from fractions import Fraction
 
 DECAY_WINDOW_NS = 1_000_000_000  # ns: the count of admitted set-ups halves with each window
-FAIRNESS_SLACK = 4  # admitted set-ups that are not held against a connection
+FAIRNESS_SLACK = 4  # admitted set-ups of a window that are not held against a connection
 ACTIVE_NS = 2 * DECAY_WINDOW_NS  # a connection with a set-up in this time counts as active
 ACTIVE_COUNT_TTL_NS = DECAY_WINDOW_NS // 8  # how long the number of active connections is cached
-MAX_TRACKED = 4096  # idle connections are evicted from here on; far above what descriptors allow
+MAX_TRACKED = 4096  # from here on idle ones are evicted; far above what file descriptors allow
 
 
 @dataclass(slots=True)
--- a/arrowrail/limits/limiter.py
+++ b/arrowrail/limits/limiter.py
@@ -56,7 +56,7 @@
 
     def recent_peak(self, now: int) -> int:
         if now - self.window_start >= DEMAND_WINDOW_NS:
-            # If no call fell into the last two windows, the stored peak is too old to count.
+            # If this method was not called for two windows, the stored peak is too old to count.
             self.previous_peak = (
                 self.peak if now - self.window_start < 2 * DEMAND_WINDOW_NS else self.open_count
             )
--- a/arrowrail/pools/config.py
+++ b/arrowrail/pools/config.py
@@ -40,6 +40,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingConfig:
+    """Pools and routes of one application, by name."""
+
     pools: Mapping[str, PoolConfig]
     routes: Mapping[str, RouteConfig]
     district_by_prefix: Mapping[str, str]
--- a/arrowrail/pools/health.py
+++ b/arrowrail/pools/health.py
@@ -2,8 +2,8 @@
 
 The list of exchanges may lag, and a failed machine sends no update.  Consecutive attempts that find no
 connection, with no attempt between them that gets any answer, eject an exchange from its pools for a limited
-time.  After that it is on trial: the first call without a connection ejects it again for longer, an answer
-restores it.  Refusals do not count as failures: they indicate load, which the decision module handles.
+time.  After that it is on trial: the first attempt without a connection ejects it again for longer, an
+answer restores it.  Refusals do not count as failures: they indicate load, which the decision module handles.
 """
 
 from __future__ import annotations
--- a/arrowrail/pools/route_table.py
+++ b/arrowrail/pools/route_table.py
@@ -42,6 +42,8 @@
 
 
 class RouteTable:
+    """Tracks the state of each exchange and the availability of each route."""
+
     def __init__(self, config: RoutingConfig) -> None:
         self._listed_states: dict[int, str] = {}  # by exchange
         self._health: dict[int, ExchangeHealth] = {}
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -22,14 +22,15 @@
     Limiter,
 )
 
-MS, S = 1_000_000, 1_000_000_000
-T0 = 1_000 * S
+MILLISECOND_NS, SECOND_NS = 1_000_000, 1_000_000_000
+T0 = 1_000 * SECOND_NS
 WORTHS = {"alarm": 4.0, "call": 3.0, "report": 1.0}
 
 
 def limits_config(
     max_open: int = 100, rate: int = 50, shares: dict[str, tuple[Fraction, Fraction]] | None = None,
-    connection_share: Fraction = Fraction(1), burst_ns: int = S, max_retry_after_ns: int = 2 * S,
+    connection_share: Fraction = Fraction(1), burst_ns: int = SECOND_NS,
+    max_retry_after_ns: int = 2 * SECOND_NS,
 ) -> LimitsConfig:  # fmt: skip
     return build_limits(
         max_open, Fraction(rate), burst_ns, connection_share, WORTHS, shares or {}, max_retry_after_ns
@@ -75,7 +76,7 @@
 
 @pytest.mark.parametrize("worths", [{"a": 1.0, "b": 1.0}, {"a": 0.0, "b": 0.0}])
 def test_equal_worths_have_the_same_rank(worths: dict[str, float]) -> None:
-    config = build_limits(10, Fraction(10), S, Fraction(1), worths, {}, S)
+    config = build_limits(10, Fraction(10), SECOND_NS, Fraction(1), worths, {}, SECOND_NS)
     assert {c.rank for c in config.classes.values()} == {0} and {
         c.reserved_open for c in config.classes.values()
     } == {5}
@@ -94,17 +95,17 @@
 def test_burst_is_admitted_and_then_the_rate() -> None:
     rate_limiter = RateLimiter(limits_config(rate=8), T0)  # 4, 3 and 1 set-ups per second
     assert acquire_all(rate_limiter, "alarm") == 4
-    rate_limiter.refill(T0 + S)
+    rate_limiter.refill(T0 + SECOND_NS)
     assert acquire_all(rate_limiter, "alarm") == 4 + 4  # its own tokens, and the overflow of the idle classes
 
 
 def test_unused_rate_is_lent_and_available_to_its_owner_at_once() -> None:
     rate_limiter = RateLimiter(limits_config(rate=80), T0)
-    got = 0
+    acquired = 0
     for step in range(1, 101):
-        rate_limiter.refill(T0 + step * 100 * MS)
-        got += acquire_all(rate_limiter, "report")
-    assert got > 10 * 50  # far more than its own 10 per second
+        rate_limiter.refill(T0 + step * 100 * MILLISECOND_NS)
+        acquired += acquire_all(rate_limiter, "report")
+    assert acquired > 10 * 50  # far more than its own 10 per second
     assert acquire_all(rate_limiter, "alarm") >= 40  # the lending class's own bucket is still full
 
 
@@ -123,7 +124,7 @@
 def test_class_without_reserved_rate_uses_the_shared_bucket() -> None:
     rate_limiter = RateLimiter(limits_config(rate=10, shares={"report": (Fraction(0), Fraction(0))}), T0)
     assert acquire_all(rate_limiter, "report") == 0
-    rate_limiter.refill(T0 + 2 * S)
+    rate_limiter.refill(T0 + 2 * SECOND_NS)
     assert acquire_all(rate_limiter, "report") > 0 and rate_limiter.time_to_setup_ns("report") > 0
 
 
@@ -131,14 +132,14 @@
 @given(st.lists(st.tuples(st.integers(0, 400), st.sampled_from(sorted(WORTHS))), max_size=300))
 def test_no_sequence_of_set_ups_exceeds_rate_and_bursts(steps: list[tuple[int, str]]) -> None:
     config = limits_config(rate=20)
-    rate_limiter, now, got = RateLimiter(config, T0), T0, 0
+    rate_limiter, now, acquired = RateLimiter(config, T0), T0, 0
     for delay_ms, class_name in steps:
-        now += delay_ms * MS
+        now += delay_ms * MILLISECOND_NS
         rate_limiter.refill(now)
-        got += rate_limiter.try_acquire(class_name)
+        acquired += rate_limiter.try_acquire(class_name)
     # At most the initial bucket depths and the tokens that the rate has provided since.
     depth = sum(config.bucket_depth(c.reserved_rate) for c in config.classes.values())
-    assert got * SETUP_COST <= depth + config.rate * (now - T0) // NANOS_PER_UNIT
+    assert acquired * SETUP_COST <= depth + config.rate * (now - T0) // NANOS_PER_UNIT
 
 
 def test_new_config_keeps_remaining_tokens_up_to_the_new_depth() -> None:
@@ -190,16 +191,16 @@
         and tracker.within_fair_rate(T0, "light")
         and tracker.within_fair_rate(T0, "new")
     )
-    assert tracker.within_fair_rate(T0 + 8 * S, "flood")
+    assert tracker.within_fair_rate(T0 + 8 * SECOND_NS, "flood")
 
 
 def test_idle_connections_are_evicted() -> None:
     tracker = ConnectionTracker()
     for n in range(5000):
-        tracker.setup_admitted(T0 + n * S, n)
+        tracker.setup_admitted(T0 + n * SECOND_NS, n)
         tracker.setup_ended(n)
     assert len(tracker) <= 4096
-    tracker.evict_idle(T0 + 6000 * S)
+    tracker.evict_idle(T0 + 6000 * SECOND_NS)
     assert len(tracker) == 0
     tracker.setup_ended("never seen")
 
@@ -211,9 +212,13 @@
     limiter = Limiter(limits_config(max_open=10, rate=1000), T0)
     assert admit_many(limiter, T0, "alarm", 20).count(ADMITTED) >= 5
     result = limiter.admit(T0, "alarm", "a")
-    assert result.reason == TOTAL_OPEN and 0 < result.retry_after_ns <= 2 * S and REASON_TEXTS[result.reason]
-    limiter.setup_ended(T0 + S, "alarm", "a", S)
-    assert limiter.admit(T0 + S, "alarm", "a").admitted
+    assert (
+        result.reason == TOTAL_OPEN
+        and 0 < result.retry_after_ns <= 2 * SECOND_NS
+        and REASON_TEXTS[result.reason]
+    )
+    limiter.setup_ended(T0 + SECOND_NS, "alarm", "a", SECOND_NS)
+    assert limiter.admit(T0 + SECOND_NS, "alarm", "a").admitted
 
 
 def test_class_gets_its_reserved_open_set_ups_despite_load_of_others() -> None:
@@ -221,57 +226,57 @@
     admit_many(limiter, T0, "report", 1000, "r")
     assert limiter.open_count < 80
     # The other class gets the headroom that was never lent at once, the rest as lent set-ups end.
-    first = admit_many(limiter, T0 + MS, "alarm", 1000, "a").count(ADMITTED)
+    first = admit_many(limiter, T0 + MILLISECOND_NS, "alarm", 1000, "a").count(ADMITTED)
     assert first >= 5
     for step in range(60):
-        limiter.setup_ended(T0 + step * MS, "report", "r", 500 * MS)
-        admit_many(limiter, T0 + step * MS, "report", 5, "r")
-        admit_many(limiter, T0 + step * MS, "alarm", 5, "a")
+        limiter.setup_ended(T0 + step * MILLISECOND_NS, "report", "r", 500 * MILLISECOND_NS)
+        admit_many(limiter, T0 + step * MILLISECOND_NS, "report", 5, "r")
+        admit_many(limiter, T0 + step * MILLISECOND_NS, "alarm", 5, "a")
     assert limiter.demand["alarm"].open_count >= 40 and limiter.open_count <= 80
 
 
 def test_reserved_open_set_ups_without_recent_demand_are_lent_again() -> None:
     limiter = Limiter(limits_config(max_open=80, rate=100_000), T0)
-    taken = admit_many(limiter, T0, "alarm", 40, "a").count(ADMITTED)
-    for _ in range(taken):
-        limiter.setup_ended(T0 + S, "alarm", "a", S)
-    soon = admit_many(limiter, T0 + S, "report", 200, "r").count(ADMITTED)
+    admitted_count = admit_many(limiter, T0, "alarm", 40, "a").count(ADMITTED)
+    for _ in range(admitted_count):
+        limiter.setup_ended(T0 + SECOND_NS, "alarm", "a", SECOND_NS)
+    soon = admit_many(limiter, T0 + SECOND_NS, "report", 200, "r").count(ADMITTED)
     for _ in range(soon):
-        limiter.setup_ended(T0 + 2 * S, "report", "r", S)
-    later = admit_many(limiter, T0 + 60 * S, "report", 200, "r").count(ADMITTED)
+        limiter.setup_ended(T0 + 2 * SECOND_NS, "report", "r", SECOND_NS)
+    later = admit_many(limiter, T0 + 60 * SECOND_NS, "report", 200, "r").count(ADMITTED)
     assert later > soon
 
 
 def test_retry_delay_above_the_rate_grows_with_earlier_refusals() -> None:
-    limiter = Limiter(limits_config(max_open=1000, rate=8, max_retry_after_ns=60 * S), T0)
+    limiter = Limiter(limits_config(max_open=1000, rate=8, max_retry_after_ns=60 * SECOND_NS), T0)
     results = [limiter.admit(T0, "alarm", "a") for _ in range(30)]
     delays = [r.retry_after_ns for r in results if r.reason == TOTAL_RATE]
     assert len(delays) == 26 and delays == sorted(delays) and delays[-1] > 10 * delays[0]
     # The backlog of refused callers has drained by then.
-    assert limiter.admit(T0 + 60 * S, "alarm", "a").admitted
+    assert limiter.admit(T0 + 60 * SECOND_NS, "alarm", "a").admitted
 
 
 def test_retry_delay_is_bounded_and_absent_where_disabled() -> None:
-    limiter = Limiter(limits_config(rate=1, max_retry_after_ns=700 * MS), T0)
-    assert max(limiter.admit(T0, "report", "a").retry_after_ns for _ in range(100)) == 700 * MS
+    limiter = Limiter(limits_config(rate=1, max_retry_after_ns=700 * MILLISECOND_NS), T0)
+    assert max(limiter.admit(T0, "report", "a").retry_after_ns for _ in range(100)) == 700 * MILLISECOND_NS
     no_delay = Limiter(limits_config(rate=1, max_retry_after_ns=0), T0)
     assert {no_delay.admit(T0, "report", "a").retry_after_ns for _ in range(100)} == {0}
 
 
 def test_flood_on_one_connection_leaves_capacity_to_others() -> None:
     limiter = Limiter(limits_config(max_open=1000, rate=40, connection_share=Fraction(2, 3)), T0)
-    got: dict[str, list[str]] = {"flood": [], "light": []}
+    reasons: dict[str, list[str]] = {"flood": [], "light": []}
     now = T0
     for step in range(2000):  # 20 s: 200 set-ups per second on the flooding connection, 5 on the other
-        now += 10 * MS
+        now += 10 * MILLISECOND_NS
         for connection, each in (("flood", 2), ("light", int(step % 20 == 0))):
             for _ in range(each):
                 result = limiter.admit(now, "report", connection)
-                got[connection].append(result.reason)
+                reasons[connection].append(result.reason)
                 if result.admitted:
-                    limiter.setup_ended(now, "report", connection, 50 * MS)
-    assert got["light"].count(ADMITTED) / len(got["light"]) >= 0.95
-    assert CONNECTION_RATE in got["flood"]
+                    limiter.setup_ended(now, "report", connection, 50 * MILLISECOND_NS)
+    assert reasons["light"].count(ADMITTED) / len(reasons["light"]) >= 0.95
+    assert CONNECTION_RATE in reasons["flood"]
 
 
 def test_one_connection_cannot_use_all_open_set_ups() -> None:
@@ -284,18 +289,18 @@
 def test_unknown_class_counts_as_the_one_of_lowest_worth() -> None:
     limiter = Limiter(limits_config(max_open=10), T0)
     assert limiter.admit(T0, "other", "a").admitted and limiter.demand["report"].open_count == 1
-    limiter.setup_ended(T0, "other", "a", MS)
+    limiter.setup_ended(T0, "other", "a", MILLISECOND_NS)
     assert limiter.demand["report"].open_count == 0
 
 
 def test_smaller_limit_admits_nothing_until_enough_set_ups_have_ended() -> None:
     limiter = Limiter(limits_config(max_open=100, rate=100_000), T0)
-    taken = admit_many(limiter, T0, "alarm", 40).count(ADMITTED)
+    admitted_count = admit_many(limiter, T0, "alarm", 40).count(ADMITTED)
     limiter.update_config(limits_config(max_open=10, rate=100_000), T0)
     assert admit_many(limiter, T0, "alarm", 3) == [TOTAL_OPEN] * 3
-    for _ in range(taken - 4):
-        limiter.setup_ended(T0 + S, "alarm", "a", S)
-    assert limiter.admit(T0 + S, "alarm", "a").admitted
+    for _ in range(admitted_count - 4):
+        limiter.setup_ended(T0 + SECOND_NS, "alarm", "a", SECOND_NS)
+    assert limiter.admit(T0 + SECOND_NS, "alarm", "a").admitted
 
 
 EVENTS = st.lists(
@@ -316,14 +321,14 @@
     current_max, now = max_open, T0
     admitted: list[tuple[str, str]] = []
     for delay_ms, kind, class_name, connection in events:
-        now += delay_ms * MS
+        now += delay_ms * MILLISECOND_NS
         if kind == "admit":
             before = limiter.open_count
             if limiter.admit(now, class_name, connection).admitted:
                 assert before < current_max
                 admitted.append((class_name, connection))
         elif kind == "end" and admitted:
-            limiter.setup_ended(now, *admitted.pop(len(admitted) // 2), 100 * MS)
+            limiter.setup_ended(now, *admitted.pop(len(admitted) // 2), 100 * MILLISECOND_NS)
         elif kind == "config":
             current_max = max(1, current_max // 2)
             limiter.update_config(limits_config(current_max, rate, connection_share=Fraction(1, 2)), now)
@@ -333,6 +338,6 @@
                 1 for _, connection in admitted if connection == name
             )
     for class_name, connection in admitted:
-        limiter.setup_ended(now, class_name, connection, MS)
+        limiter.setup_ended(now, class_name, connection, MILLISECOND_NS)
     assert limiter.open_count == 0 and all(n.open_count == 0 for n in limiter.demand.values())
-    assert limiter.admit(now + 100 * S, "alarm", "a").admitted
+    assert limiter.admit(now + 100 * SECOND_NS, "alarm", "a").admitted
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -30,7 +30,7 @@
     RouteTable,
 )
 
-S = 1_000_000_000
+SECOND_NS = 1_000_000_000
 ROUTE = route_name("call", "north")
 
 
@@ -121,7 +121,7 @@
 
 
 def test_connect_failures_eject_an_exchange_and_a_successful_trial_restores_it() -> None:
-    table, now = route_table(), 100 * S
+    table, now = route_table(), 100 * SECOND_NS
     for _ in range(EJECTION_THRESHOLD - 1):
         assert table.record_connect_failure(now, 1) == {}
     assert (
@@ -143,12 +143,12 @@
 def test_exchange_that_answers_between_failures_stays_in_use() -> None:
     table = route_table()
     for _ in range(5 * EJECTION_THRESHOLD):
-        assert table.record_connect_failure(S, 1) == {}
+        assert table.record_connect_failure(SECOND_NS, 1) == {}
         assert table.record_answer(1) == {}
 
 
 def test_ejection_time_is_bounded_and_reset_by_the_list() -> None:
-    health, now = ExchangeHealth(), S
+    health, now = ExchangeHealth(), SECOND_NS
     for _ in range(20):
         while not health.record_connect_failure(now):
             pass
@@ -210,7 +210,7 @@
 def test_any_sequence_of_events_allows_only_exchanges_in_use_and_reports_changes(
     steps: list[tuple[str, int, str]],
 ) -> None:
-    table, now = route_table(), S
+    table, now = route_table(), SECOND_NS
     known: dict[str, tuple[int, ...]] = {ROUTE: (1, 2)}
     for kind, number, state in steps:
         if kind == "list":
@@ -220,7 +220,7 @@
         elif kind == "answer":
             changed = table.record_answer(number)
         elif kind == "due":
-            now += number * S
+            now += number * SECOND_NS
             changed = table.start_due_trials(now)
         else:
             changed = table.update_config(
