--- a/arrowrail/config/rules.py
+++ b/arrowrail/config/rules.py
@@ -15,7 +15,7 @@
 from arrowrail.config import units
 from arrowrail.config.diagnostics import Diagnostics, Location, quote
 from arrowrail.config.records import Application, CallClass, District, Exchange, Group, Pool, Site
-from arrowrail.pools.plan import fallback_order
+from arrowrail.pools.config import fallback_order
 from arrowrail.state.address import parse_address
 
 # File descriptors that the process itself needs: log, event loop, listeners and exchange list sources.
--- a/arrowrail/config/show.py
+++ b/arrowrail/config/show.py
@@ -9,7 +9,7 @@
 from arrowrail.config.checker import CheckResult
 from arrowrail.config.diagnostics import Location
 from arrowrail.config.schema import MapOf, Nullable, Record, RecordOf, ValueType, keys_of
-from arrowrail.pools.plan import fallback_order
+from arrowrail.pools.config import fallback_order
 
 DEFAULT = "default"
 
--- a/arrowrail/config/writer.py
+++ b/arrowrail/config/writer.py
@@ -21,7 +21,7 @@
 from arrowrail.config.rules import Inventory, connections_per_exchange, normalized_address
 from arrowrail.config.schema import NAME, String, TableRef, keys_of
 from arrowrail.config.show import effective_values
-from arrowrail.pools.plan import fallback_order
+from arrowrail.pools.config import fallback_order
 
 MARK = "// written by arrowrail config write; digest "
 FIRST_PORT, LAST_PORT = 5081, 5999
--- a/tests/records/test_tool.py
+++ b/tests/records/test_tool.py
@@ -140,8 +140,9 @@
     for name, text in GOOD.items():
         (tmp_path / name).write_text(text)
     values = {v.key_path: v for v in effective_values(check_folder(tmp_path), "lifts")}
-    rate = values["application.lifts.limits.rate"]
-    assert (rate.value, rate.source) == ("50/s", "lifts.rail:9:29")
+    assert (
+        values["application.lifts.limits.rate"].value, values["application.lifts.limits.rate"].source,
+    ) == ("50/s", "lifts.rail:9:29")  # fmt: skip
     assert values["application.lifts.descriptors"].source == DEFAULT
     assert values["exchange.k-1.circuits"].source == "inventory.rail:11:77"
     assert values["pool.f.fallback"].value == "[pool.k]"
