--- a/arrowrail/config/legacy_toml.py
+++ b/arrowrail/config/legacy_toml.py
@@ -10,7 +10,7 @@
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, ValidationError
 
-from arrowrail.state.address import DIGITS, parse_address
+from arrowrail.state.address import CALLED_NUMBER_DIGITS, parse_address
 
 
 def _address(text: str) -> str:
@@ -24,7 +24,7 @@
 
 
 def _digits(text: str) -> str:
-    if any(d not in DIGITS for d in text):
+    if any(d not in CALLED_NUMBER_DIGITS for d in text):
         raise ValueError("not made of digits")
     return text
 
--- a/arrowrail/config/schema.py
+++ b/arrowrail/config/schema.py
@@ -31,7 +31,7 @@
     conjoin,
     resolve,
 )
-from arrowrail.state.address import DIGITS, parse_address
+from arrowrail.state.address import CALLED_NUMBER_DIGITS, parse_address
 
 NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}")
 MAX_ITEMS = 100_000
@@ -231,7 +231,7 @@
     name = "digits 0-9 and A-E"
 
     def validate(self, text: str, found: Scalar, context: ReadContext, key_path: str) -> Any:
-        if text and len(text) <= 32 and all(d in DIGITS for d in text):
+        if text and len(text) <= 32 and all(d in CALLED_NUMBER_DIGITS for d in text):
             return text
         context.diagnostics.add(
             "AR202", found.location, key_path, f"{quote(text)} is no prefix of {self.name}"
--- a/arrowrail/core/rules.py
+++ b/arrowrail/core/rules.py
@@ -7,24 +7,24 @@
 from trackhatch.interface import Settings
 
 
-def broken_rule(now: int, settings: Settings, request: Request | None, endpoint: Endpoint | None) -> str:
+def violated_rule(now: int, settings: Settings, request: Request | None, endpoint: Endpoint | None) -> str:
     """Which rule a set-up would break, in words for the log; empty where it breaks none."""
     if request is None:
         return "the call is over"
     if endpoint is None:
         return "the office was never listed"
-    if request.stands or request.out is not None:
+    if request.established or request.current_attempt is not None:
         return "an attempt is out already"
     if request.attempts >= settings.max_attempts:
         return "no attempt is left"
-    if now < request.not_before:
+    if now < request.next_attempt_ns:
         return "the release pause is not over"
-    if now >= request.offer.deadline_ns:
+    if now >= request.params.deadline_ns:
         return "the deadline has passed"
-    if endpoint.told.state != IN_SERVICE and now - endpoint.drain_told_ns >= settings.drain_grace_ns:
+    if endpoint.entry.state != IN_SERVICE and now - endpoint.drain_notified_ns >= settings.drain_grace_ns:
         return "the desk exchange drains or is gone"
-    if settings.layout == "meshed" and endpoint.told.exchange == settings.own_exchange:
+    if settings.layout == "meshed" and endpoint.entry.exchange == settings.own_exchange:
         return "it is the own exchange"
-    if request.offer.in_transit and endpoint.told.exchange != request.offer.destination:
+    if request.params.in_transit and endpoint.entry.exchange != request.params.destination:
         return "a call in transit goes to its destination only"
     return ""
--- a/arrowrail/group/runtime.py
+++ b/arrowrail/group/runtime.py
@@ -61,7 +61,7 @@
         self.control = Control(loop, plan.control, self.report) if plan.control else None
         self.runs = 0
         self._closing = False
-        loop.deadlines.at(loop.now, self._tick)
+        loop.timers.schedule(loop.now, self._tick)
 
     def use(self, plan: GroupPlan) -> None:
         self.plan = plan
@@ -76,7 +76,7 @@
         if self._closing:
             return
         self._carry(self.instance.tick(self.loop.now))
-        self.loop.deadlines.at(self.loop.now + TICK_NS, self._tick)
+        self.loop.timers.schedule(self.loop.now + TICK_NS, self._tick)
 
     def background(self, busy: bool) -> None:
         """Once a turn of the loop, after the calls."""
@@ -84,7 +84,7 @@
             self.scheduler.turn(self.loop.now, time.monotonic_ns, busy)
             due = self.scheduler.next_at(self.loop.now)
             if due is not None:
-                self.loop.deadlines.at(max(due, self.loop.now + MS), lambda: None)
+                self.loop.timers.schedule(max(due, self.loop.now + MS), lambda: None)
 
     def _carry(self, out: Out) -> None:
         for run in out.runs:
--- a/arrowrail/lab/application.py
+++ b/arrowrail/lab/application.py
@@ -67,7 +67,7 @@
     def lost(self, _why: OSError | None) -> None:
         self.app.ledger.say("lost", line=self.name)
         self.stream = None
-        self.app.loop.deadlines.at(self.app.loop.now + AGAIN_NS, self.open)
+        self.app.loop.timers.schedule(self.app.loop.now + AGAIN_NS, self.open)
 
 
 class StandInApplication:
@@ -89,7 +89,7 @@
             at += self.random.expovariate(rate * (factor if surging else 1.0))
             if at >= seconds:
                 break
-            loop.deadlines.at(self.began + int(at * S), self._caller(surging))
+            loop.timers.schedule(self.began + int(at * S), self._caller(surging))
 
     def command(self, asked: Any) -> None:
         """``{"do": "stop"}``: no calls from now on; what is open is still heard."""
--- a/arrowrail/lab/bench.py
+++ b/arrowrail/lab/bench.py
@@ -21,15 +21,15 @@
 
 from arrowrail.config.checker import check_folder
 from arrowrail.core.engine import Core
-from arrowrail.core.requests import Answer, Ended, Offer, Request
+from arrowrail.core.requests import FinalResponse, ReleaseOutcome, Request, SetUpParams
 from arrowrail.lab.processes import ROOT, Crew, free_ports, listens, until
 from arrowrail.lab.simgroup import movement, traffic
 from arrowrail.lab.unlimited import NoLimits
 from arrowrail.sidecar.admission import RecordsAdmission
 from arrowrail.sidecar.compile import compile_
 from arrowrail.sidecar.listing import SOURCE
-from arrowrail.state.deadlines import Deadlines
 from arrowrail.state.endpoints import Endpoint
+from arrowrail.state.timers import TimerQueue
 
 MS, S = 1_000_000, 1_000_000_000
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -89,7 +89,7 @@
     def __init__(self, core: Core) -> None:
         self.core, self.answers = core, 0
 
-    def answer(self, request: Request, answer: Answer) -> None:
+    def respond(self, request: Request, answer: FinalResponse) -> None:
         self.answers += 1
 
     def release(self, request: Request, cause: int) -> None: ...
@@ -97,29 +97,30 @@
     def flushed(self) -> bool:
         return True
 
-    def changed(self, desk: Endpoint) -> None: ...
-    def give_up(self, desk: Endpoint, call: str) -> None: ...
-    def set_up(self, desk: Endpoint, offer: Offer, wait_ns: int) -> None:
-        self.core.deadlines.at(
-            self.core.now + MS, lambda: self.core.desk_answered(desk, offer.call, b"answer")
+    def endpoint_changed(self, desk: Endpoint) -> None: ...
+    def cancel_set_up(self, desk: Endpoint, call: str) -> None: ...
+    def set_up(self, desk: Endpoint, offer: SetUpParams, wait_ns: int) -> None:
+        self.core.timers.schedule(
+            self.core.now + MS, lambda: self.core.endpoint_answered(desk, offer.call_id, b"answer")
         )
-        self.core.deadlines.at(
-            self.core.now + 2 * MS, lambda: self.core.desk_released(desk, offer.call, Ended("served"), 16)
+        self.core.timers.schedule(
+            self.core.now + 2 * MS,
+            lambda: self.core.endpoint_released(desk, offer.call_id, ReleaseOutcome("served"), 16),
         )
 
 
 def core_with(folder: Path, limited: bool) -> tuple[Core, Quiet]:
     checked = check_folder(folder)
     c = compile_(checked.applications["app0"], checked.inventories["app0"])
-    core = Core(c.settings, 1, Deadlines(S))
+    core = Core(c.settings, 1, TimerQueue(S))
     quiet = Quiet(core)
-    core.backs["binary"] = quiet  # type: ignore[assignment]
-    core.fronts.append(quiet)
+    core.backends["binary"] = quiet  # type: ignore[assignment]
+    core.frontends.append(quiet)
     admission = core.admission = RecordsAdmission(c, S)
     if not limited:
         admission.limiter = NoLimits(c.limits, S)
-    core.list_news(SOURCE, False, admission.listing.use(c.lines))
-    core.turn()
+    core.update_endpoints(SOURCE, False, admission.listing.use(c.lines))
+    core.process_events()
     return core, quiet
 
 
@@ -128,11 +129,11 @@
     gc.collect()
     began = time.process_time()
     for n in range(first, first + count):
-        core.deadlines.now += 40 * MS
-        core.deadlines.run_due()
-        offer = Offer(f"{n:016x}", f"c{n % 3}", f"0{n % 10}", n, -1, 1, core.now + 3 * S, b"x")
-        core.offer(quiet, n % 8, offer)
-        core.turn()
+        core.timers.now += 40 * MS
+        core.timers.run_due()
+        offer = SetUpParams(f"{n:016x}", f"c{n % 3}", f"0{n % 10}", n, -1, 1, core.now + 3 * S, b"x")
+        core.submit(quiet, n % 8, offer)
+        core.process_events()
     return time.process_time() - began
 
 
@@ -145,7 +146,7 @@
         for side in (0, 1) if at % 2 else (1, 0):
             took[side].append(calls(*sides[side], at * count, count))
     for core, quiet in sides:
-        if core.defects or quiet.answers < (rounds - 1) * count:
+        if core.internal_errors or quiet.answers < (rounds - 1) * count:
             raise RuntimeError("calls went unanswered")
     ratios = [a / b for a, b in zip(*took, strict=True)]
     return {
--- a/arrowrail/lab/bus.py
+++ b/arrowrail/lab/bus.py
@@ -73,7 +73,7 @@
     def _comment(self) -> None:
         for reader in list(self.readers):
             reader.stream.send(b": \n\n")
-        self.loop.deadlines.at(self.loop.now + COMMENT_NS, self._comment)
+        self.loop.timers.schedule(self.loop.now + COMMENT_NS, self._comment)
 
 
 def main() -> None:
--- a/arrowrail/lab/commands.py
+++ b/arrowrail/lab/commands.py
@@ -48,8 +48,8 @@
     ledger.flush()
     while not told:
         due = time.monotonic_ns() + TICK_NS
-        loop.deadlines.at(loop.now + TICK_NS, lambda: None)
-        loop.turn()
+        loop.timers.schedule(loop.now + TICK_NS, lambda: None)
+        loop.run_once()
         delay = time.monotonic_ns() - due
         if delay > LATE_NS:
             ledger.say("late", ms=delay // MS)
--- a/arrowrail/lab/exchange.py
+++ b/arrowrail/lab/exchange.py
@@ -20,7 +20,7 @@
 from arrowrail.lab.commands import read_commands, run_until_told
 from arrowrail.lab.ledger import Ledger
 from arrowrail.loop import Loop
-from arrowrail.state.deadlines import Deadline
+from arrowrail.state.timers import Timer
 from arrowrail.wire.desk import binary
 from arrowrail.wire.desk.binary import DeskMessage
 from arrowrail.wire.listener import Listener
@@ -78,7 +78,7 @@
     peer: Peer
     kind: str
     stands: bool = False
-    timer: Deadline | None = None
+    timer: Timer | None = None
 
 
 class StandInExchange:
@@ -100,7 +100,7 @@
         self.listener = Listener(loop, address, lambda s: Peer(self, s), lambda: True, lambda: False)
         for fault in faults:
             if fault.what == "cut":
-                loop.deadlines.at(self.started + fault.since, self._cut)
+                loop.timers.schedule(self.started + fault.since, self._cut)
         ledger.say("started", port=self.listener.port)
 
     def _under(self, what: str) -> bool:
@@ -159,7 +159,7 @@
         if self._under("silent"):
             return
         wait = self.set_up_ms * self.random.uniform(0.5, 1.5) * (10 if self._under("slow") else 1)
-        held.timer = self.loop.deadlines.at(self.loop.now + int(wait * MS), lambda: self._answer(m.call))
+        held.timer = self.loop.timers.schedule(self.loop.now + int(wait * MS), lambda: self._answer(m.call))
         self._group_changed()
 
     def _answer(self, call: int) -> None:
@@ -175,7 +175,7 @@
             for _ in range(2 if self._under("twice") else 1):
                 held.peer.say(answer)
         wait = self.class_holds.get(held.kind, self.hold_ms) * self.random.uniform(0.5, 1.5)
-        held.timer = self.loop.deadlines.at(self.loop.now + int(wait * MS), lambda: self._over(call))
+        held.timer = self.loop.timers.schedule(self.loop.now + int(wait * MS), lambda: self._over(call))
 
     def description(self, call: int) -> bytes:
         """What stands in the answer to a call, and in no other."""
--- a/arrowrail/lab/soak/callers.py
+++ b/arrowrail/lab/soak/callers.py
@@ -162,7 +162,7 @@
             self._test.send(sip.request("OPTIONS", "sip:ping@net", "peer", f"{self.next_line():016x}", 1))
         except OSError:
             self._test = None
-        self.loop.deadlines.at(self.loop.now + TEST_NS, self.test)
+        self.loop.timers.schedule(self.loop.now + TEST_NS, self.test)
 
     def passed(self) -> None:
         """The controller is ready: calls go to it from now on."""
@@ -182,7 +182,7 @@
             for line in self.lines:
                 line.close()
             self.lines = []
-            self.loop.deadlines.at(now + RECONNECT_NS, self.test)
+            self.loop.timers.schedule(now + RECONNECT_NS, self.test)
         elif asked["do"] == "crowd":
             for _ in range(asked["calls"]):
                 self.call()
@@ -233,7 +233,7 @@
             if again is not None:
                 again.place(call, placed.message, resent=True)
         if not line.short:
-            self.loop.deadlines.at(self.loop.now + RECONNECT_NS, self.open_lines)
+            self.loop.timers.schedule(self.loop.now + RECONNECT_NS, self.open_lines)
 
     # --- Calls ----------------------------------------------------------------------------------------------
 
@@ -262,7 +262,7 @@
         line.place(call, (head + body).encode())
         if early:
             wait = int(kind.patience_ms * EARLY_SHARE) * MS
-            self.loop.deadlines.at(self.loop.now + wait, lambda: self._give_up(call))
+            self.loop.timers.schedule(self.loop.now + wait, lambda: self._give_up(call))
 
     def _holder(self, call: str) -> Line | None:
         return next((line for line in self.lines if call in line.open_calls), None)
@@ -294,11 +294,11 @@
             self.standing[call] = True
             if self.random.random() < self.habits.hang_up_share:
                 wait = int(self.random.uniform(0.5, 3.0) * S)
-                self.loop.deadlines.at(self.loop.now + wait, lambda: self._hang_up(call))
+                self.loop.timers.schedule(self.loop.now + wait, lambda: self._hang_up(call))
         elif message.status in (480, 503) and self.random.random() < self.habits.retry_share:
             self.call(retry=True)
         if line.short and not line.open_calls:
-            self.loop.deadlines.at(self.loop.now + 50 * MS, lambda: self._close_idle(line))
+            self.loop.timers.schedule(self.loop.now + 50 * MS, lambda: self._close_idle(line))
 
     def _hang_up(self, call: str) -> None:
         """End a call that stands, on any connection."""
@@ -320,7 +320,7 @@
                 self._close_idle(line)
         if self.ready:
             self.open_lines()
-        self.loop.deadlines.at(self.loop.now + S, self.sweep)
+        self.loop.timers.schedule(self.loop.now + S, self.sweep)
 
 
 class Rude:
@@ -332,7 +332,7 @@
             self.stream = connect(callers.loop, self, callers.address)
         except OSError:
             return
-        callers.loop.deadlines.at(callers.loop.now + RUDE_LIMIT_NS, self._late)
+        callers.loop.timers.schedule(callers.loop.now + RUDE_LIMIT_NS, self._late)
 
     def connected(self) -> None:
         call = f"{self.callers.random.getrandbits(64):016x}".encode()
@@ -360,7 +360,7 @@
         at += callers.random.expovariate(rate)
         if at >= seconds:
             return
-        callers.loop.deadlines.at(callers.loop.now + int(at * S), place)
+        callers.loop.timers.schedule(callers.loop.now + int(at * S), place)
 
 
 def class_of(text: str) -> CallerClass:
--- a/arrowrail/lab/soak/variants.py
+++ b/arrowrail/lab/soak/variants.py
@@ -12,7 +12,7 @@
 
 import trackhatch.controller
 from arrowrail.core import engine
-from arrowrail.core.requests import STANDS, Answer, Request
+from arrowrail.core.requests import ESTABLISHED, FinalResponse, Request
 from arrowrail.failure_detection.endpoint import EndpointMonitor
 from arrowrail.run import main as run_main
 from arrowrail.shutdown.plan import ShutdownPlan
@@ -22,43 +22,43 @@
 
 def _without_drain() -> None:
     """News that a server drains is not taken in."""
-    taken = engine.Core.list_news
+    taken = engine.Core.update_endpoints
 
     def list_news(self: engine.Core, source: str, whole: bool, lines: Any) -> None:
         taken(self, source, whole, [line for line in lines if line.state != "terminating"])
 
-    setattr(engine.Core, "list_news", list_news)  # noqa: B010 - a method is replaced on purpose
+    setattr(engine.Core, "update_endpoints", list_news)  # noqa: B010 - a method is replaced on purpose
 
 
 def _without_pause() -> None:
     """No pause after an attempt that timed out, broke or was cancelled."""
-    engine.PAUSED_AFTER = ()  # type: ignore[assignment]
+    engine.RELEASE_AWAITED_OUTCOMES = ()  # type: ignore[assignment]
     trackhatch.controller.RELEASE_AWAITED_OUTCOMES = ()  # type: ignore[assignment]
 
 
 def _without_release() -> None:
     """Calls on a server that is gone are left standing until discovery says so."""
-    setattr(EndpointMonitor, "loss", lambda self, now: None)  # noqa: B010
+    setattr(EndpointMonitor, "detect_loss", lambda self, now: None)  # noqa: B010
 
 
 def _without_one_answer() -> None:
     """A refusal is said twice."""
-    said = SipFront.answer
+    said = SipFront.respond
 
-    def answer(self: SipFront, request: Request, answer: Answer) -> None:
-        dialog = self.dialogs.get(request.offer.call)
+    def answer(self: SipFront, request: Request, answer: FinalResponse) -> None:
+        dialog = self.dialogs.get(request.params.call_id)
         said(self, request, answer)
-        if answer.kind != STANDS and dialog is not None:
-            self.dialogs[request.offer.call] = dialog
+        if answer.result != ESTABLISHED and dialog is not None:
+            self.dialogs[request.params.call_id] = dialog
             said(self, request, answer)
 
-    setattr(SipFront, "answer", answer)  # noqa: B010
+    setattr(SipFront, "respond", answer)  # noqa: B010
 
 
 def _without_shutdown() -> None:
     """Requests are held for their own deadline, whenever the kill comes."""
-    setattr(ShutdownPlan, "due_ns", lambda self, deadline_ns: deadline_ns)  # noqa: B010
-    setattr(engine.Core, "_cut_off", lambda self: None)  # noqa: B010
+    setattr(ShutdownPlan, "answer_deadline_ns", lambda self, deadline_ns: deadline_ns)  # noqa: B010
+    setattr(engine.Core, "_answer_open_requests", lambda self: None)  # noqa: B010
 
 
 def _without_told() -> None:
--- a/arrowrail/loop.py
+++ b/arrowrail/loop.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from typing import IO, Any
 
-from arrowrail.state.deadlines import Deadlines
+from arrowrail.state.timers import TimerQueue
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
-LONGEST_SLEEP_NS = 1_000_000_000
-Ready = Callable[[int], None]
-Source = socket.socket | IO[Any]  # or a pipe
+MAX_WAIT_NS = 1_000_000_000
+ReadyCallback = Callable[[int], None]
+Pollable = socket.socket | IO[Any]  # or a pipe
 
 
 class Loop:
@@ -23,38 +23,38 @@
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
         # Monotonic, anchored to Unix time once: list times compare with it, and it never steps back.
-        self._anchor = time.time_ns() - time.monotonic_ns()
-        self.leaving: dict[Any, None] = {}  # streams that were told their last word, oldest first
-        self.deadlines = Deadlines(self._clock(), self._clock)
+        self._unix_offset_ns = time.time_ns() - time.monotonic_ns()
+        self.closing_streams: dict[Any, None] = {}  # streams that were told their last word, oldest first
+        self.timers = TimerQueue(self._clock(), self._clock)
 
     def _clock(self) -> int:
-        return self._anchor + time.monotonic_ns()
+        return self._unix_offset_ns + time.monotonic_ns()
 
     @property
     def now(self) -> int:
-        return self.deadlines.now
+        return self.timers.now
 
-    def watch(self, sock: Source, mask: int, ready: Ready) -> None:
+    def watch(self, sock: Pollable, mask: int, ready: ReadyCallback) -> None:
         try:
             self._selector.modify(sock, mask, ready)
         except KeyError:
             self._selector.register(sock, mask, ready)
 
-    def unwatch(self, sock: Source) -> None:
+    def unwatch(self, sock: Pollable) -> None:
         with contextlib.suppress(KeyError, ValueError):  # was never watched, or is closed already
             self._selector.unregister(sock)
 
-    def turn(self, at_once: bool = False) -> None:
-        """One wait and what it brought; ``at_once`` where work is left that no socket announces."""
+    def run_once(self, no_wait: bool = False) -> None:
+        """One wait and what it brought; ``no_wait`` where work is left that no socket announces."""
         wait_ns = 0
-        if not at_once:
-            due = self.deadlines.next_at()
+        if not no_wait:
+            due = self.timers.next_due_ns()
             now = self._clock()
-            wait_ns = LONGEST_SLEEP_NS if due is None else max(0, min(due - now, LONGEST_SLEEP_NS))
+            wait_ns = MAX_WAIT_NS if due is None else max(0, min(due - now, MAX_WAIT_NS))
         ready = self._selector.select(wait_ns / 1e9)
-        self.deadlines.now = self._clock()
+        self.timers.now = self._clock()
         for key, mask in ready:
             if self._selector.get_map().get(key.fd) is not key:
                 continue  # closed or changed by an earlier one of this turn
             key.data(mask)
-        self.deadlines.run_due()
+        self.timers.run_due()
--- a/arrowrail/run/extras.py
+++ b/arrowrail/run/extras.py
@@ -31,7 +31,7 @@
             self.back = M3uaBack(
                 loop, core, settings, self._classes(m), m.circuits, config.connect_timeout_ns
             )
-            core.list_news(SOURCE, True, _desks(m))
+            core.update_endpoints(SOURCE, True, _desks(m))
             self.front = M3uaFront(loop, core, m.listen, settings, self._classes(m), _numbers(m))
             self.front.start()
         if operator.etcd.enabled:
@@ -44,7 +44,7 @@
         Who listens where, and under which point code, is agreed with the peers: that needs a restart.
         """
         if self.front is not None and operator.m3ua.enabled:
-            self.core.list_news(SOURCE, True, _desks(operator.m3ua))
+            self.core.update_endpoints(SOURCE, True, _desks(operator.m3ua))
             self.back.use(self._classes(operator.m3ua))
             self.front.use(self._classes(operator.m3ua), _numbers(operator.m3ua))
         if self.etcd is not None and operator.etcd.enabled:
--- a/arrowrail/run/log.py
+++ b/arrowrail/run/log.py
@@ -8,7 +8,7 @@
 import orjson
 from loguru import logger
 
-from arrowrail.telemetry.events import CALL_LEVEL, log_calls
+from arrowrail.telemetry.events import CALL_LOG_LEVEL, enable_call_events
 
 if TYPE_CHECKING:
     from loguru import Message
@@ -19,7 +19,7 @@
 def log_to(level: str, form: str = TEXT) -> None:
     """Log from that level on, in one of the two forms."""
     logger.remove()
-    log_calls(logger.level(level).no <= logger.level(CALL_LEVEL).no)
+    enable_call_events(logger.level(level).no <= logger.level(CALL_LOG_LEVEL).no)
     if form == JSON:
         logger.add(_json, level=level, backtrace=False, diagnose=False, format="{message}")
     else:
--- a/arrowrail/run/main.py
+++ b/arrowrail/run/main.py
@@ -36,7 +36,7 @@
 class Program:
     def __init__(self, config: Config, operator: Controller | None = None) -> None:
         self.loop = Loop()
-        self.core = Core(config.settings, config.seed, self.loop.deadlines)
+        self.core = Core(config.settings, config.seed, self.loop.timers)
         # A few connections to each desk exchange, from what callers leave of the descriptors.
         per_desk = max(1, min(MOST_LINKS, config.sockets // LINK_SHARE))
         DeskBack(self.loop, self.core, config.connect_timeout_ns, per_desk)
@@ -53,22 +53,22 @@
             from arrowrail.run.extras import Extras
 
             self.extras = Extras(self.loop, self.core, self.config, self.operator)
-        self.core.turn()
-        self.loop.deadlines.at(self.loop.now + METRICS_NS, self._report_metrics)
+        self.core.process_events()
+        self.loop.timers.schedule(self.loop.now + METRICS_NS, self._report_metrics)
         if self.config.listen:
             self.front.start()
             logger.info("{} serves on {}", self.config.name, self.config.listen)
 
     def _report_metrics(self) -> None:
         self.core.metrics.report()
-        self.loop.deadlines.at(self.loop.now + METRICS_NS, self._report_metrics)
+        self.loop.timers.schedule(self.loop.now + METRICS_NS, self._report_metrics)
 
     def stop(self, number: int) -> None:
         """Told to stop: go on serving as the plan of a shutdown says; a second signal changes nothing."""
         event("shutdown.signal", "signal {number}: {requests} requests are open", number=number,
-              requests=self.core.unanswered, again=self.core.shutdown is not None)  # fmt: skip
+              requests=self.core.unanswered, again=self.core.shutdown_plan is not None)  # fmt: skip
         longest_ns = max(kind.deadline_ns for kind in self.config.settings.classes)
-        self.core.shut_down(ShutdownPlan(self.loop.now, longest_ns))
+        self.core.begin_shutdown(ShutdownPlan(self.loop.now, longest_ns))
 
     def reload(self, config: Config, operator: Controller | None = None) -> None:
         """Take up what may change under way; nothing that is in flight is touched."""
@@ -84,21 +84,21 @@
         logger.info("reloaded; the event bus is at {}", config.bus or "no address")
 
     def turn(self) -> None:
-        self.loop.turn(at_once=bool(self.core.events))
-        self.core.turn()
+        self.loop.run_once(no_wait=bool(self.core.events))
+        self.core.process_events()
 
     def done(self) -> bool:
-        now, plan = self.loop.now, self.core.shutdown
+        now, plan = self.loop.now, self.core.shutdown_plan
         if plan is None:
             return False
-        connections = sum(front.connections for front in self.core.fronts)
-        if not plan.may_end(now, self.core.unanswered, connections):
+        connections = sum(front.connections for front in self.core.frontends)
+        if not plan.may_exit(now, self.core.unanswered, connections):
             return False
         if not self.flush_by:
             # Guards against the last answers being lost in buffers; a peer that reads nothing can't hold us.
             self.flush_by = now + FLUSH_NS
-            self.loop.deadlines.at(self.flush_by, lambda: None)
-        return now >= self.flush_by or all(front.flushed() for front in self.core.fronts)
+            self.loop.timers.schedule(self.flush_by, lambda: None)
+        return now >= self.flush_by or all(front.flushed() for front in self.core.frontends)
 
     def run(self, again: Callable[[], None]) -> None:
         on_signal(self.loop, self.stop, again)
@@ -106,7 +106,7 @@
         while not self.done():
             self.turn()
         self.core.metrics.report()
-        logger.info("stopped; {} checks fired", self.core.defects)
+        logger.info("stopped; {} checks fired", self.core.internal_errors)
 
 
 def read_platform() -> Config | None:
--- a/arrowrail/run/reading.py
+++ b/arrowrail/run/reading.py
@@ -10,7 +10,7 @@
 
 from arrowrail.loop import READ, Loop
 from arrowrail.run.result import Result
-from arrowrail.state.deadlines import Deadline
+from arrowrail.state.timers import Timer
 
 LONGEST_S = 60
 MAX_RESULT = 64 << 20  # bytes of a result: an inventory of 10,000 exchanges is a tenth of it
@@ -57,7 +57,7 @@
         self.loop, self.done = loop, done
         self._child: subprocess.Popen[bytes] | None = None
         self._data = bytearray()
-        self._late: Deadline | None = None
+        self._late: Timer | None = None
         self._again: Asked | None = None
 
     @property
@@ -77,7 +77,7 @@
         assert child.stdout is not None
         self._data = bytearray()
         self.loop.watch(child.stdout, READ, self._ready)
-        self._late = self.loop.deadlines.at(self.loop.now + LONGEST_S * 10**9, self._too_late)
+        self._late = self.loop.timers.schedule(self.loop.now + LONGEST_S * 10**9, self._too_late)
 
     def _ready(self, _mask: int) -> None:
         child = self._child
--- a/arrowrail/shutdown/plan.py
+++ b/arrowrail/shutdown/plan.py
@@ -15,41 +15,45 @@
 from dataclasses import dataclass
 
 MS = 1_000_000
-LONGEST_COUNTED_NS = 3_000 * MS  # a longer deadline counts as that
+MAX_COUNTED_DEADLINE_NS = 3_000 * MS  # a longer deadline counts as that
 KILL_AFTER_DEADLINE_NS = 700 * MS
-STILL_COMING_NS = 700 * MS  # until then requests on new connections are to be expected
+NEW_CONNECTION_WINDOW_NS = 700 * MS  # until then requests on new connections are to be expected
 ANSWER_RESERVE_NS = 300 * MS  # for the last answers to reach their readers, and for a machine that is busy
-AFTER_KILL_NS = 200 * MS  # where no kill comes, the process ends by itself
+KILL_OVERRUN_NS = 200 * MS  # where no kill comes, the process ends by itself
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownPlan:
     """The times of one shutdown; a second signal changes nothing in them."""
 
-    told_ns: int  # when SIGTERM came
+    signalled_ns: int  # when SIGTERM came
     longest_deadline_ns: int  # of all classes, as a span
 
     @property
     def kill_ns(self) -> int:
         """The earliest time of SIGKILL."""
-        return self.told_ns + min(self.longest_deadline_ns, LONGEST_COUNTED_NS) + KILL_AFTER_DEADLINE_NS
+        return (
+            self.signalled_ns
+            + min(self.longest_deadline_ns, MAX_COUNTED_DEADLINE_NS)
+            + KILL_AFTER_DEADLINE_NS
+        )
 
     @property
     def answer_by_ns(self) -> int:
         """When everything that is open gets its final answer."""
         return self.kill_ns - ANSWER_RESERVE_NS
 
-    def takes(self, now: int) -> bool:
+    def accepts_requests(self, now: int) -> bool:
         """Whether a new request may still be served; later ones are refused in the turn in which they
         come."""
         return now < self.answer_by_ns
 
-    def due_ns(self, deadline_ns: int) -> int:
+    def answer_deadline_ns(self, deadline_ns: int) -> int:
         """By when a request with that deadline has to be answered."""
         return min(deadline_ns, self.answer_by_ns)
 
-    def may_end(self, now: int, unanswered: int, connections: int) -> bool:
+    def may_exit(self, now: int, unanswered: int, connections: int) -> bool:
         """Whether the process may end: nothing new can come, and nothing is owed."""
-        if now >= self.kill_ns + AFTER_KILL_NS:
+        if now >= self.kill_ns + KILL_OVERRUN_NS:
             return True
-        return now >= self.told_ns + STILL_COMING_NS and not unanswered and not connections
+        return now >= self.signalled_ns + NEW_CONNECTION_WINDOW_NS and not unanswered and not connections
--- a/arrowrail/sidecar/admission.py
+++ b/arrowrail/sidecar/admission.py
@@ -5,7 +5,14 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
-from arrowrail.core.requests import CAUSE_CONNECTION_FAILED, NO_ROUTE, OVER_LIMIT, REFUSED, Answer, Offer
+from arrowrail.core.requests import (
+    CAUSE_CONNECTION_FAILED,
+    NO_ROUTE,
+    OVER_LIMIT,
+    REFUSED,
+    FinalResponse,
+    SetUpParams,
+)
 from arrowrail.limits.limiter import Limiter
 from arrowrail.pools.route_table import RouteAvailability, RouteTable
 from arrowrail.sidecar.compile import Compiled
@@ -16,7 +23,7 @@
 NO_NEWS = ("not_sent", "no_answer", "called_off")  # outcomes that prove nothing of the way to an exchange
 BY_USE = (IN_SERVICE, TERMINATING, TERMINATED)  # of several machines of an exchange, the first counts
 PROOF_NS = 5_000_000_000  # how long an answer to a call of ours outweighs what probes say
-NO_WAY = Answer(REFUSED, outcome=NO_ROUTE)
+NO_WAY = FinalResponse(REFUSED, outcome=NO_ROUTE)
 
 
 class RecordsAdmission:
@@ -38,32 +45,32 @@
 
     # --- The core's questions ---------------------------------------------------------------------------
 
-    def carries(self, class_name: str) -> bool:
+    def supports_class(self, class_name: str) -> bool:
         return class_name in self.compiled.classes
 
-    def enter(self, now: int, line: object, offer: Offer) -> tuple[Offer, Answer | None]:
+    def admit(self, now: int, line: object, offer: SetUpParams) -> tuple[SetUpParams, FinalResponse | None]:
         facts = self.compiled.classes.get(offer.class_name)
-        routing = self.route_table.route_call(offer.class_name, offer.number, offer.district)
+        routing = self.route_table.route_call(offer.class_name, offer.called_number, offer.district)
         if facts is None or routing.failure_reason:
             self._count(routing.failure_reason or "class not carried")
             return offer, NO_WAY
         result = self.limiter.admit(now, offer.class_name, line)
         if not result.admitted:
             self._count(result.reason)
-            return offer, Answer(REFUSED, stay_away_ns=result.retry_after_ns, outcome=OVER_LIMIT)
+            return offer, FinalResponse(REFUSED, retry_after_ns=result.retry_after_ns, outcome=OVER_LIMIT)
         deadline = min(offer.deadline_ns, now + facts.give_up_ns)
         return replace(
             offer, route=routing.route, destination=routing.exchange, width=facts.width, deadline_ns=deadline
         ), None
 
-    def settled(self, now: int, line: object, offer: Offer, took_ns: int) -> None:
+    def set_up_finished(self, now: int, line: object, offer: SetUpParams, took_ns: int) -> None:
         self.limiter.setup_ended(now, offer.class_name, line, took_ns)
 
-    def time_out_ns(self, offer: Offer) -> int:
+    def attempt_timeout_ns(self, offer: SetUpParams) -> int:
         facts = self.compiled.classes.get(offer.class_name)
         return facts.time_out_ns if facts is not None else 0
 
-    def listed(
+    def filter_entries(
         self, source: str, whole: bool, lines: Iterable[EndpointEntry]
     ) -> tuple[str, bool, list[EndpointEntry]]:
         """What any source tells takes effect through the listing, in its words."""
@@ -71,28 +78,28 @@
             return SOURCE, False, list(lines)
         return SOURCE, False, self.listing.heard(whole, lines)
 
-    def told(self, desks: Iterable[Endpoint]) -> list[interface.PoolUpdate]:
+    def endpoints_changed(self, desks: Iterable[Endpoint]) -> list[interface.PoolUpdate]:
         """An exchange is in use while any machine of it is in service: the old one may drain beside it."""
         changed = set()
         for desk in desks:
-            machines = self._offices.setdefault(desk.told.exchange, {})
-            machines[desk.office] = desk.told.state
-            if desk.told.state == TERMINATED and len(machines) > 1:
-                del machines[desk.office]
-            changed.add(desk.told.exchange)
+            machines = self._offices.setdefault(desk.entry.exchange, {})
+            machines[desk.endpoint_id] = desk.entry.state
+            if desk.entry.state == TERMINATED and len(machines) > 1:
+                del machines[desk.endpoint_id]
+            changed.add(desk.entry.exchange)
         states = []
         for exchange in sorted(changed):
             known = set(self._offices[exchange].values())
             states.append((exchange, next(s for s in BY_USE if s in known)))
         return _news(self.route_table.update_states(states))
 
-    def attempt_over(self, now: int, desk: Endpoint, outcome: str, cause: int) -> list[interface.PoolUpdate]:
+    def attempt_ended(self, now: int, desk: Endpoint, outcome: str, cause: int) -> list[interface.PoolUpdate]:
         if outcome == "no_connection":
-            return _news(self.route_table.record_connect_failure(now, desk.told.exchange))
+            return _news(self.route_table.record_connect_failure(now, desk.entry.exchange))
         if outcome in NO_NEWS or cause == CAUSE_CONNECTION_FAILED:
             return []
-        self._proved[desk.told.exchange] = now
-        return _news(self.route_table.record_answer(desk.told.exchange))
+        self._proved[desk.entry.exchange] = now
+        return _news(self.route_table.record_answer(desk.entry.exchange))
 
     def doubted(self, now: int, exchanges: Iterable[int]) -> list[interface.PoolUpdate]:
         """Exchanges that others' probes found silent; where our own calls are answered, those know better."""
--- a/arrowrail/sidecar/listing.py
+++ b/arrowrail/sidecar/listing.py
@@ -55,8 +55,8 @@
                 self.unknown += 1
                 continue
             known = self._heard.get(name)
-            address = told.endpoint or (known.address if known is not None else "")
-            self._heard[name] = Heard(told.state, address, told.since_ns)
+            address = told.address or (known.address if known is not None else "")
+            self._heard[name] = Heard(told.state, address, told.started_ns)
         if whole:
             for name in self._lines:
                 if name not in named:
--- a/arrowrail/sidecar/main.py
+++ b/arrowrail/sidecar/main.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from arrowrail.core.engine import Core
-from arrowrail.core.requests import MS, Q850_CUT
+from arrowrail.core.requests import MS, Q850_TEMPORARY_FAILURE
 from arrowrail.duties.hints import SILENT
 from arrowrail.run.config import Config
 from arrowrail.run.log import log_to
@@ -56,7 +56,7 @@
 
     def start(self) -> None:
         c, loop = self.compiled, self.program.loop
-        self.core.list_news(SOURCE, False, self.admission.listing.use(c.lines))
+        self.core.update_endpoints(SOURCE, False, self.admission.listing.use(c.lines))
         if c.links.source == "etcd":
             from arrowrail.wire.etcd.client import EtcdClient
 
@@ -69,7 +69,7 @@
 
             self.group = Group(loop, c.group, self._probe, int.from_bytes(os.urandom(8), "big"))
             self.group.set_duties(self._duties())
-        loop.deadlines.at(loop.now + TICK_NS, self._tick)
+        loop.timers.schedule(loop.now + TICK_NS, self._tick)
         # What lives as long as the process is left out of every later look for garbage.
         gc.collect()
         gc.freeze()
@@ -88,7 +88,7 @@
         self.reading.close()
         if self.group is not None:
             self.group.close()
-        event("sidecar.stopped", "{defects} checks fired", defects=self.core.defects)
+        event("sidecar.stopped", "{defects} checks fired", defects=self.core.internal_errors)
 
     def _turn(self) -> None:
         """Calls first; background work takes what its budgets leave it."""
@@ -104,12 +104,12 @@
         """One probe of an exchange in service, under the fence of its duty's epoch."""
         name = run.duty.removeprefix(PROBE)
         group = self.compiled.group
-        desks = [d for d in self.core.registry.endpoints.values() if d.told.uid.partition("@")[0] == name]
-        desk = next((d for d in desks if d.told.state == IN_SERVICE), None)
+        desks = [d for d in self.core.registry.endpoints.values() if d.entry.uid.partition("@")[0] == name]
+        desk = next((d for d in desks if d.entry.state == IN_SERVICE), None)
         if desk is None or group is None:
             return False
         fence = f"{run.duty} {run.epoch} {run.run} {group.name}"
-        back: Any = self.core.backs["binary"]
+        back: Any = self.core.backends["binary"]
         if not back.probe(desk, fence, group.probe_time_out_ns, done):
             done(False)
             return False
@@ -139,14 +139,14 @@
         if self._m3ua is None and any(line.signalling == "m3ua" for line in new.lines):
             event("reload.restart", "exchanges with m3ua are reached from the next start on",
                   level="WARNING")  # fmt: skip
-        unheard = [r for r in new.pools.routes if r not in self.core.module.call_classes]
+        unheard = [r for r in new.pools.routes if r not in self.core.decision_module.call_classes]
         if unheard:
             event("reload.worth", "{routes} count as of least worth until the next start", level="WARNING",
                   routes=unheard[:20])  # fmt: skip
         self.numbers |= {line.name: line.number for line in new.lines}
         news, pools = self.admission.use(new, self.program.loop.now)
         self.core.events += pools
-        self.core.list_news(SOURCE, False, news)
+        self.core.update_endpoints(SOURCE, False, news)
         self.program.front.most_callers = new.connections
         if self._m3ua is not None:
             self._m3ua.use(new)
@@ -171,28 +171,30 @@
             self.core.events += self.admission.doubted(loop.now, silent)
         self._forget_emptied()
         self._release_orphans()
-        loop.deadlines.at(loop.now + TICK_NS, self._tick)
+        loop.timers.schedule(loop.now + TICK_NS, self._tick)
 
     def _forget_emptied(self) -> None:
         leaving = self.admission.listing.leaving
         if not leaving:
             return
-        busy = {r.out.desk.told.uid for r in self.core.requests if r.out is not None}
+        busy = {
+            r.current_attempt.endpoint.entry.uid for r in self.core.requests if r.current_attempt is not None
+        }
         gone = self.admission.listing.emptied([uid for uid in leaving if uid not in busy])
         if gone:
-            self.core.list_news(SOURCE, False, gone)
+            self.core.update_endpoints(SOURCE, False, gone)
 
     def _release_orphans(self) -> None:
         """Guards against calls of an application that has died holding circuits for nobody."""
         now = self.program.loop.now
-        for front in self.core.fronts:
+        for front in self.core.frontends:
             if front.connections:
                 self._alone_since.pop(id(front), None)
                 continue
             since = self._alone_since.setdefault(id(front), now)
             if now - since < self.compiled.orphans_ns:
                 continue
-            released = self.core.release_all(front, Q850_CUT)
+            released = self.core.release_all(front, Q850_TEMPORARY_FAILURE)
             if released:
                 event("orphans.released", "{calls} calls of an application that is gone", level="WARNING",
                       calls=released)  # fmt: skip
--- a/arrowrail/state/address.py
+++ b/arrowrail/state/address.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-DIGITS = "0123456789ABCDE"  # of a called number; Q.763 3.9 codes them 0 to 14
+CALLED_NUMBER_DIGITS = "0123456789ABCDE"  # of a called number; Q.763 3.9 codes them 0 to 14
 
 
 def parse_address(text: str) -> tuple[str, int]:
--- a/arrowrail/state/endpoints.py
+++ b/arrowrail/state/endpoints.py
@@ -7,7 +7,7 @@
 
 IN_SERVICE, TERMINATING, TERMINATED = "in_service", "terminating", "terminated"
 STATES = (IN_SERVICE, TERMINATING, TERMINATED)
-GONE_KEPT = 128  # entries of gone exchanges that are remembered, so that late news finds them
+MAX_TERMINATED = 128  # entries of gone exchanges that are remembered, so that late news finds them
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,12 +15,12 @@
     """One line of a source's list: a desk exchange, where it listens and how it is spoken to."""
 
     uid: str
-    endpoint: str  # address:port
+    address: str  # address:port
     zone: str
     exchange: int
     state: str
-    since_ns: int  # Unix time of a late start; 0: long ago
-    back: str = "binary"  # which back speaks to it
+    started_ns: int  # Unix time of a late start; 0: long ago
+    backend: str = "binary"  # which back speaks to it
     point_code: int = 0  # of an exchange that signals in the M3UA style
     circuits: int = 0  # of the group toward it, where it does; 0: as configured for all
 
@@ -29,10 +29,10 @@
 class Endpoint:
     """A desk exchange under the number that the decision module knows it by."""
 
-    office: int
+    endpoint_id: int
     source: str
-    told: EndpointEntry
-    drain_told_ns: int = 0  # when this controller was told that it drains or is gone
+    entry: EndpointEntry
+    drain_notified_ns: int = 0  # when this controller was told that it drains or is gone
 
 
 class EndpointRegistry:
@@ -44,8 +44,8 @@
 
     def __init__(self) -> None:
         self.endpoints: dict[int, Endpoint] = {}
-        self._ids: dict[str, int] = {}
-        self._last = 0
+        self._ids_by_uid: dict[str, int] = {}
+        self._last_id = 0
 
     def get(self, office: int) -> Endpoint | None:
         return self.endpoints.get(office)
@@ -56,40 +56,40 @@
         named = set()
         for told in lines:
             named.add(told.uid)
-            desk = self._take(now, source, told)
+            desk = self._update_entry(now, source, told)
             if desk is not None:
-                changed[desk.office] = desk
+                changed[desk.endpoint_id] = desk
         if whole:  # absent from a whole list of its source: gone
             for desk in list(self.endpoints.values()):
-                known = desk.told
+                known = desk.entry
                 if desk.source == source and known.uid not in named and known.state != TERMINATED:
-                    self._take(now, source, replace(known, state=TERMINATED))
-                    changed[desk.office] = desk
-        self._forget()
+                    self._update_entry(now, source, replace(known, state=TERMINATED))
+                    changed[desk.endpoint_id] = desk
+        self._drop_terminated()
         return list(changed.values())
 
-    def _take(self, now: int, source: str, told: EndpointEntry) -> Endpoint | None:
-        office = self._ids.get(told.uid)
+    def _update_entry(self, now: int, source: str, told: EndpointEntry) -> Endpoint | None:
+        office = self._ids_by_uid.get(told.uid)
         if office is None:
             if told.state == TERMINATED:
                 return None  # never heard of: nothing can be out there
-            self._last += 1
-            desk = Endpoint(self._last, source, told)
-            self._ids[told.uid], self.endpoints[desk.office] = desk.office, desk
+            self._last_id += 1
+            desk = Endpoint(self._last_id, source, told)
+            self._ids_by_uid[told.uid], self.endpoints[desk.endpoint_id] = desk.endpoint_id, desk
         else:
             desk = self.endpoints[office]
             if told.state == TERMINATED:  # a deletion may name nothing but the uid
-                told = replace(desk.told, state=TERMINATED)
-            if desk.told == told:
+                told = replace(desk.entry, state=TERMINATED)
+            if desk.entry == told:
                 return None
-            desk.told = told
+            desk.entry = told
         if told.state == IN_SERVICE:
-            desk.drain_told_ns = 0
-        elif desk.drain_told_ns == 0:
-            desk.drain_told_ns = now
+            desk.drain_notified_ns = 0
+        elif desk.drain_notified_ns == 0:
+            desk.drain_notified_ns = now
         return desk
 
-    def _forget(self) -> None:
-        gone = [d for d in self.endpoints.values() if d.told.state == TERMINATED]
-        for desk in gone[: max(0, len(gone) - GONE_KEPT)]:
-            del self.endpoints[desk.office], self._ids[desk.told.uid]
+    def _drop_terminated(self) -> None:
+        gone = [d for d in self.endpoints.values() if d.entry.state == TERMINATED]
+        for desk in gone[: max(0, len(gone) - MAX_TERMINATED)]:
+            del self.endpoints[desk.endpoint_id], self._ids_by_uid[desk.entry.uid]
--- a/arrowrail/telemetry/events.py
+++ b/arrowrail/telemetry/events.py
@@ -11,9 +11,9 @@
 
 from loguru import logger
 
-CALL_LEVEL = "DEBUG"
-_calls_logged = True  # until a level is set
-MOST_IDS = 20  # call ids named in one line; the line also carries their number
+CALL_LOG_LEVEL = "DEBUG"
+_call_events_enabled = True  # until a level is set
+MAX_LOGGED_IDS = 20  # call ids named in one line; the line also carries their number
 
 
 def event(name: str, text: str, level: str = "INFO", **fields: Any) -> None:
@@ -21,27 +21,27 @@
     logger.opt(depth=1).bind(event=name, **fields).log(level, text, **fields)
 
 
-def log_calls(wanted: bool) -> None:
+def enable_call_events(wanted: bool) -> None:
     """Whether events of single calls are logged; where not, they cost next to nothing."""
-    global _calls_logged
-    _calls_logged = wanted
+    global _call_events_enabled
+    _call_events_enabled = wanted
 
 
 def call_event(name: str, call: str, text: str, **fields: Any) -> None:
     """Log a state transition of one call; ``call`` is its 16-digit id."""
-    if not _calls_logged:
+    if not _call_events_enabled:
         return
     logger.opt(depth=1).bind(event=name, call=call, **fields).log(
-        CALL_LEVEL, "call {call}: " + text, call=call, **fields
+        CALL_LOG_LEVEL, "call {call}: " + text, call=call, **fields
     )
 
 
-def some_ids(calls: list[str]) -> list[str]:
+def first_ids(calls: list[str]) -> list[str]:
     """The first ids of a list, so that a log line stays bounded."""
-    return calls[:MOST_IDS]
+    return calls[:MAX_LOGGED_IDS]
 
 
-def reason_of(why: OSError | None) -> str:
+def disconnect_reason(why: OSError | None) -> str:
     """Why a connection ended, as a name from a small fixed set, fit to label a counter."""
     if why is None:
         return "closed_by_peer"
--- a/arrowrail/wire/bus/client.py
+++ b/arrowrail/wire/bus/client.py
@@ -9,9 +9,9 @@
 from arrowrail.core.engine import Core
 from arrowrail.core.requests import MS
 from arrowrail.loop import Loop
-from arrowrail.state.deadlines import Deadline
+from arrowrail.state.timers import Timer
+from arrowrail.telemetry.events import disconnect_reason
 from arrowrail.telemetry.events import event as log_event
-from arrowrail.telemetry.events import reason_of
 from arrowrail.wire.bus.messages import BusError, BusEvent, StreamParser, get
 from arrowrail.wire.stream import Stream, connect
 
@@ -29,8 +29,8 @@
         self.pause_ns = FIRST_PAUSE_NS
         self.stream: Stream | None = None
         self.parser = StreamParser()
-        self.silence: Deadline | None = None
-        self.again: Deadline | None = None
+        self.silence: Timer | None = None
+        self.again: Timer | None = None
         self.asked_again_for = -1  # the gap that was asked for once already
         self._following = False  # whether the log says that the stream is being read
 
@@ -101,13 +101,13 @@
             return  # held already
         self.last = event.offset
         self.core.metrics.count("discovery.events")
-        self.core.list_news(SOURCE, event.whole, event.lines)
+        self.core.update_endpoints(SOURCE, event.whole, event.lines)
 
     def _heard(self, next_within_ns: int = 0) -> None:
         if self.silence is not None:
             self.silence.cancel()
         late = OSError(errno.ETIMEDOUT, "silent")
-        self.silence = self.loop.deadlines.at(
+        self.silence = self.loop.timers.schedule(
             self.loop.now + (next_within_ns or SILENCE_NS), lambda: self._cut(late)
         )
 
@@ -117,7 +117,7 @@
 
     def lost(self, why: OSError | None) -> None:
         self.stream = None
-        reason = reason_of(why)
+        reason = disconnect_reason(why)
         self.core.metrics.count("discovery.lost", reason)
         if self._following:
             self._following = False
@@ -128,5 +128,5 @@
         self._later()
 
     def _later(self) -> None:
-        self.again = self.loop.deadlines.at(self.loop.now + self.pause_ns, self.open)
+        self.again = self.loop.timers.schedule(self.loop.now + self.pause_ns, self.open)
         self.pause_ns = min(2 * self.pause_ns, LONGEST_PAUSE_NS)
--- a/arrowrail/wire/desk/back.py
+++ b/arrowrail/wire/desk/back.py
@@ -7,10 +7,10 @@
 from loguru import logger
 
 from arrowrail.core.engine import Core
-from arrowrail.core.requests import MS, Offer
+from arrowrail.core.requests import MS, SetUpParams
 from arrowrail.loop import Loop
-from arrowrail.state.deadlines import Deadline
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, Endpoint
+from arrowrail.state.timers import Timer
 from arrowrail.wire.desk import binary
 from arrowrail.wire.desk.binary import DeskMessage
 from arrowrail.wire.desk.connection import ServerConnection
@@ -28,32 +28,32 @@
         self.per_desk = per_desk
         self.pools: dict[int, ConnectionPool] = {}
         self.unreadable_seen = Tally(loop)
-        self.probes: dict[int, tuple[Callable[[bool], None], Deadline]] = {}  # tests that are out
+        self.probes: dict[int, tuple[Callable[[bool], None], Timer]] = {}  # tests that are out
         self._tests = 0
         self.started_ns = loop.now
-        core.backs["binary"] = self
-        self.loop.deadlines.at(self.loop.now + SWEEP_NS, self._sweep)
+        core.backends["binary"] = self
+        self.loop.timers.schedule(self.loop.now + SWEEP_NS, self._sweep)
 
     def _sweep(self) -> None:
         for pool in list(self.pools.values()):
             pool.check_server()
-        self.loop.deadlines.at(self.loop.now + SWEEP_NS, self._sweep)
+        self.loop.timers.schedule(self.loop.now + SWEEP_NS, self._sweep)
 
     def report_unreadable(self, desk: Endpoint, why: str) -> None:
-        self.unreadable_seen.count(f"spoilt message from {desk.told.uid}: {why}")
+        self.unreadable_seen.count(f"spoilt message from {desk.entry.uid}: {why}")
 
     # --- From the core ----------------------------------------------------------------------------------
 
-    def changed(self, desk: Endpoint) -> None:
+    def endpoint_changed(self, desk: Endpoint) -> None:
         """Connect ahead of the first set-up: the connection also tells the state of the group."""
-        state, known = desk.told.state, self.pools.get(desk.office)
+        state, known = desk.entry.state, self.pools.get(desk.endpoint_id)
         if state == IN_SERVICE:
             self._pool(desk).open()
         elif known is not None:
             self._withdraw(known)
             if state == TERMINATED:
                 known.close()
-                del self.pools[desk.office]
+                del self.pools[desk.endpoint_id]
         elif state == TERMINATING:
             # First heard of while it drains, as after a restart: calls of before may stand there, and their
             # ends are told on a connection.
@@ -62,9 +62,9 @@
             pool.open()
 
     def _pool(self, desk: Endpoint) -> ConnectionPool:
-        pool = self.pools.get(desk.office)
+        pool = self.pools.get(desk.endpoint_id)
         if pool is None:
-            pool = self.pools[desk.office] = ConnectionPool(self, desk, self.per_desk)
+            pool = self.pools[desk.endpoint_id] = ConnectionPool(self, desk, self.per_desk)
         return pool
 
     def _withdraw(self, pool: ConnectionPool) -> None:
@@ -79,18 +79,18 @@
                     del connection.waiting[call]
                     self.core.attempt_failed(connection.desk, call, "not_sent")
 
-    def set_up(self, desk: Endpoint, offer: Offer, wait_ns: int) -> None:
-        if desk.told.state == TERMINATED:  # its connections are closed for good
-            self.core.attempt_failed(desk, offer.call, "not_sent")
+    def set_up(self, desk: Endpoint, offer: SetUpParams, wait_ns: int) -> None:
+        if desk.entry.state == TERMINATED:  # its connections are closed for good
+            self.core.attempt_failed(desk, offer.call_id, "not_sent")
             return
         message = DeskMessage(
-            binary.SET_UP, int(offer.call, 16), class_name=offer.class_name, number=offer.number,
-            wait_ms=max(1, wait_ns // MS), description=offer.description,
+            binary.SET_UP, int(offer.call_id, 16), class_name=offer.class_name, number=offer.called_number,
+            wait_ms=max(1, wait_ns // MS), description=offer.session_description,
         )  # fmt: skip
-        self._pool(desk).least_loaded(offer.call).send_set_up(offer.call, binary.encode(message))
+        self._pool(desk).least_loaded(offer.call_id).send_set_up(offer.call_id, binary.encode(message))
 
-    def give_up(self, desk: Endpoint, call: str) -> None:
-        pool = self.pools.get(desk.office)
+    def cancel_set_up(self, desk: Endpoint, call: str) -> None:
+        pool = self.pools.get(desk.endpoint_id)
         connection = pool.holding(call) if pool is not None else None
         if connection is None:
             return
@@ -103,7 +103,7 @@
             connection.send_release(call, binary.encode(DeskMessage(binary.RELEASE, int(call, 16), cause=16)))
 
     def release(self, desk: Endpoint, call: str, cause: int) -> None:
-        pool = self.pools.get(desk.office)
+        pool = self.pools.get(desk.endpoint_id)
         if pool is not None:
             pool.release(call, cause)
 
@@ -112,13 +112,13 @@
 
         False: no connection is up, so that nothing left.
         """
-        pool = self.pools.get(desk.office)
+        pool = self.pools.get(desk.endpoint_id)
         connection = pool.least_loaded() if pool is not None else None
         if connection is None or not connection.up or connection.stream is None:
             return False
         self._tests += 1
         call = PROBE_CALLS | self._tests
-        late = self.loop.deadlines.at(self.loop.now + wait_ns, lambda: self._untested(call))
+        late = self.loop.timers.schedule(self.loop.now + wait_ns, lambda: self._untested(call))
         self.probes[call] = (done, late)
         connection.stream.send(binary.encode(DeskMessage(binary.TEST, call, number=fence)))
         return True
@@ -140,19 +140,19 @@
                 logger.debug("late message of kind {} for call {}", message.kind, call)
                 return
             connection.waiting.pop(call, None)
-            set_up_ns = self.core.set_up_at(call)
+            set_up_ns = self.core.attempt_sent_ns(call)
             if set_up_ns:
-                connection.pool.monitor.heard_of_call(self.loop.now, set_up_ns)
+                connection.pool.monitor.call_confirmed(self.loop.now, set_up_ns)
         if message.kind == binary.ANSWER:
-            self.core.desk_answered(connection.desk, call, message.description)
+            self.core.endpoint_answered(connection.desk, call, message.description)
         elif message.kind == binary.RELEASE:
-            self.core.desk_released(connection.desk, call, read_release(message), message.cause)
+            self.core.endpoint_released(connection.desk, call, read_release(message), message.cause)
             if connection.stream is not None:
                 connection.stream.send(binary.encode(DeskMessage(binary.RELEASE_HEARD, message.call)))
         elif message.kind == binary.RELEASE_HEARD:
             connection.unheard.pop(call, None)
         elif message.kind == binary.GROUP and message.size >= 0:
-            self.core.group_state(connection.desk, message.free, message.size)
+            self.core.trunk_group_changed(connection.desk, message.free, message.size)
         elif message.kind == binary.TESTED:
             probed = self.probes.pop(message.call, None)
             if probed is not None:
--- a/arrowrail/wire/desk/connection.py
+++ b/arrowrail/wire/desk/connection.py
@@ -10,9 +10,9 @@
 from loguru import logger
 
 from arrowrail.core.requests import MS
-from arrowrail.failure_detection.endpoint import CHECK_TIMEOUT_NS, GREETING_NS
+from arrowrail.failure_detection.endpoint import CHECK_TIMEOUT_NS, GREETING_TIMEOUT_NS
 from arrowrail.state.endpoints import TERMINATED
-from arrowrail.telemetry.events import event, reason_of
+from arrowrail.telemetry.events import disconnect_reason, event
 from arrowrail.wire.desk import binary
 from arrowrail.wire.reconnect import Reconnect
 from arrowrail.wire.stream import Stream, connect
@@ -72,11 +72,11 @@
         self.retry.cancel()
         self.parser = binary.BinaryParser()
         try:
-            self.stream = connect(self.pool.back.loop, self, self.desk.told.endpoint)
+            self.stream = connect(self.pool.back.loop, self, self.desk.entry.address)
         except (OSError, ValueError) as why:  # no descriptor left, or no address
-            logger.warning("no connection to {}: {}", self.desk.told.uid, why)
+            logger.warning("no connection to {}: {}", self.desk.entry.uid, why)
             error = why if isinstance(why, OSError) else OSError(errno.EINVAL, str(why))
-            self.pool.back.loop.deadlines.at(self.pool.back.loop.now, partial(self.lost, error))
+            self.pool.back.loop.timers.schedule(self.pool.back.loop.now, partial(self.lost, error))
             return
         self.retry.within(self.pool.back.connect_timeout_ns, self.stream)
 
@@ -88,10 +88,10 @@
 
     def received(self, data: bytes) -> None:
         now, monitor = self.pool.back.loop.now, self.pool.monitor
-        monitor.heard(now, self.opened_ns)
+        monitor.data_received(now, self.opened_ns)
         if not self.greeted:
             self.greeted = True
-            monitor.greeted(now, self.opened_ns)
+            monitor.greeting_received(now, self.opened_ns)
         try:
             found = self.parser.feed(data)
             for message in found:
@@ -121,7 +121,7 @@
             since = self.pool.back.loop.now - UNHEARD_NS
             unheard, self.unheard = self.unheard, {}
             self.pool.queue_releases([r for r in unheard.values() if r.written_ns > since])
-        if self.desk.told.state != TERMINATED:
+        if self.desk.entry.state != TERMINATED:
             self.retry.failed()
             self.pool.connection_failed(why)
         never_up = stream is None or stream.connecting
@@ -131,9 +131,9 @@
 
     def _log_loss(self, was_up: bool, why: OSError | None, waiting: int) -> None:
         name = "server.connection_lost" if was_up else "server.connect_failed"
-        self.pool.back.core.metrics.count(name, reason_of(why))
+        self.pool.back.core.metrics.count(name, disconnect_reason(why))
         event(name, "{server}: {reason}, {waiting} unanswered set-ups on the connection", level="DEBUG",
-              server=self.desk.told.uid, reason=reason_of(why), waiting=waiting)  # fmt: skip
+              server=self.desk.entry.uid, reason=disconnect_reason(why), waiting=waiting)  # fmt: skip
 
     def send_set_up(self, call: str, data: bytes) -> None:
         self.waiting[call] = data
@@ -205,14 +205,14 @@
     def connected(self) -> None:
         super().connected()
         loop = self.pool.back.loop
-        loop.deadlines.at(loop.now + GREETING_NS, self._done)
+        loop.timers.schedule(loop.now + GREETING_TIMEOUT_NS, self._done)
 
     def _done(self) -> None:
         self.unfinished.cancel()
         if self.stream is None:
             return
         if not self.greeted:
-            self.pool.monitor.mute(self.pool.back.loop.now)
+            self.pool.monitor.greeting_missing(self.pool.back.loop.now)
         self.stream.finish_reading()
 
     def lost(self, why: OSError | None) -> None:
@@ -226,4 +226,6 @@
         if not was_up:
             self.pool.check_failed(why)
         elif not self.greeted and not was_left:
-            self.pool.monitor.full(self.pool.back.loop.now)  # it took the connection, and ended it
+            self.pool.monitor.connection_limit_reached(
+                self.pool.back.loop.now
+            )  # it took the connection, and ended it
--- a/arrowrail/wire/desk/outcomes.py
+++ b/arrowrail/wire/desk/outcomes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from arrowrail.core.requests import Ended
+from arrowrail.core.requests import ReleaseOutcome
 from arrowrail.wire.desk.binary import DeskMessage
 
 # Release causes of an unanswered set-up, as outcomes of the module.
@@ -10,12 +10,12 @@
 NOTES = {"group_full": 1, "tandem_refused": 2, "processor_full": 3, "user_busy": 4, "destination_full": 18}
 
 
-def read_release(message: DeskMessage) -> Ended:
+def read_release(message: DeskMessage) -> ReleaseOutcome:
     """A release in the core's terms, for both cases: before the answer, and after it."""
     cause = NOTES.get(message.note, 0)
     if message.note == "processor_full":
         cause += 16 * message.told_wait_ms
-    return Ended(
+    return ReleaseOutcome(
         OUTCOMES.get(message.cause, "server_error"),
         cause,
         "connection_lost" if message.cause == 41 else "served",
--- a/arrowrail/wire/desk/pool.py
+++ b/arrowrail/wire/desk/pool.py
@@ -5,7 +5,7 @@
 import errno
 from typing import TYPE_CHECKING
 
-from arrowrail.core.requests import CAUSE_CONNECTION_FAILED, MS, Q850_NORMAL
+from arrowrail.core.requests import CAUSE_CONNECTION_FAILED, MS, Q850_NORMAL_CLEARING
 from arrowrail.failure_detection.endpoint import EndpointMonitor
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATING, Endpoint
 from arrowrail.wire.desk import binary
@@ -69,12 +69,12 @@
     def interrupted(self, call: str, data: bytes, never_up: bool, unsent: bool) -> None:
         """The connection that a set-up was on has broken, before its answer, or never came up."""
         other = self.least_loaded()
-        if unsent and other.up and self.desk.told.state == IN_SERVICE:
+        if unsent and other.up and self.desk.entry.state == IN_SERVICE:
             other.send_set_up(call, data)  # nobody has seen it: it goes on elsewhere as the same attempt
             return
         if not unsent:
             # Guards against a set-up that ran all the same, its answer spoilt, holding circuits for nobody.
-            self.release(call, Q850_NORMAL)
+            self.release(call, Q850_NORMAL_CLEARING)
         outcome = "no_connection" if unsent else "connection_lost"
         # That a connection broke says nothing of the processor behind it; that none comes up does.
         self.back.core.attempt_failed(self.desk, call, outcome, 0 if never_up else CAUSE_CONNECTION_FAILED)
@@ -82,7 +82,7 @@
     @property
     def in_use(self) -> bool:
         """Whether connections are wanted: a server that drains keeps its own while anything is left on it."""
-        state = self.desk.told.state
+        state = self.desk.entry.state
         if state == TERMINATING:
             if self.back.loop.now < self.back.started_ns + CALLS_BEFORE_NS:
                 return True
@@ -91,7 +91,7 @@
                 or self.pending_releases
                 or any(connection.waiting for connection in self.connections)
             )
-            return bool(left or self.back.core.standing[self.desk.office])
+            return bool(left or self.back.core.established_calls[self.desk.endpoint_id])
         return state == IN_SERVICE
 
     def _close_drained(self) -> None:
@@ -109,9 +109,9 @@
         if why is None or why.errno != errno.ECONNREFUSED:
             return
         if any(connection.up for connection in self.connections):
-            self.monitor.full(self.back.loop.now)
+            self.monitor.connection_limit_reached(self.back.loop.now)
         else:
-            self.monitor.refused(self.back.loop.now)
+            self.monitor.connection_refused(self.back.loop.now)
             self.check_server()
 
     def check_failed(self, why: OSError | None) -> None:
@@ -123,12 +123,12 @@
     def check_server(self) -> None:
         """Give up calls whose server is gone; where calls stand in silence, try whether it is still there."""
         now, core = self.back.loop.now, self.back.core
-        loss = self.monitor.loss(now)
+        loss = self.monitor.detect_loss(now)
         if loss is not None:
-            core.server_lost(self.desk, loss.reason, loss.before_ns)
+            core.endpoint_lost(self.desk, loss.reason, loss.before_ns)
         elif not self.in_use:
             self._close_drained()
-        elif core.standing[self.desk.office]:
+        elif core.established_calls[self.desk.endpoint_id]:
             pending = [check.begun_ns for check in self.checks if check.pending]
             if self.monitor.check_due(now, pending):
                 core.metrics.count("server.checked")
@@ -146,7 +146,7 @@
         pending, self.pending_releases = self.pending_releases, []
         for release in pending:
             # Guards a call that has gone the same way again: a late release would end its new set-up.
-            if not self.back.core.is_out_at(release.call, self.desk):
+            if not self.back.core.has_attempt_at(release.call, self.desk):
                 connection.send_release(release.call, release.data)
 
     def release(self, call: str, cause: int) -> None:
--- a/arrowrail/wire/etcd/client.py
+++ b/arrowrail/wire/etcd/client.py
@@ -10,7 +10,7 @@
 from arrowrail.core.engine import Core
 from arrowrail.core.requests import MS
 from arrowrail.loop import Loop
-from arrowrail.state.deadlines import Deadline
+from arrowrail.state.timers import Timer
 from arrowrail.wire.etcd import messages as etcd
 from arrowrail.wire.http import BodyParser, HttpError
 from arrowrail.wire.reconnect import FIRST_PAUSE_NS, LONGEST_PAUSE_NS
@@ -31,7 +31,7 @@
         self._http = BodyParser()
         self._body = bytearray()
         self._watch: etcd.WatchParser | None = None
-        self._quiet: Deadline | None = None
+        self._quiet: Timer | None = None
         self._watched_since = 0
 
     def start(self) -> None:
@@ -39,7 +39,7 @@
         try:
             self.stream = connect(self.loop, self, self.address)
         except OSError as why:  # no descriptor left
-            self.loop.deadlines.at(self.loop.now, partial(self.lost, why))
+            self.loop.timers.schedule(self.loop.now, partial(self.lost, why))
             return
         self.stream.send(etcd.range_request(self.address, self.prefix))
         self._expect(RANGE_NS)
@@ -63,7 +63,7 @@
             else:
                 self._expect(SILENCE_NS)
                 for news in self._watch.feed(body):
-                    self.core.list_news(SOURCE, False, news.lines)
+                    self.core.update_endpoints(SOURCE, False, news.lines)
         except (HttpError, etcd.EtcdError) as wrong:
             logger.warning("etcd: {}", wrong)
             self._cut(OSError(errno.EPROTO, str(wrong)))
@@ -78,7 +78,7 @@
         if not self._http.complete or self.stream is None:
             return
         news = etcd.read_range(bytes(self._body))
-        self.core.list_news(SOURCE, True, news.lines)
+        self.core.update_endpoints(SOURCE, True, news.lines)
         self._watched_since = self.loop.now
         self._http, self._watch = BodyParser(), etcd.WatchParser(self.prefix)
         self.stream.send(etcd.watch_request(self.address, self.prefix, news.revision + 1))
@@ -88,7 +88,7 @@
         if self._quiet is not None:
             self._quiet.cancel()
         late = OSError(errno.ETIMEDOUT, "silent")
-        self._quiet = self.loop.deadlines.at(self.loop.now + within_ns, lambda: self._cut(late))
+        self._quiet = self.loop.timers.schedule(self.loop.now + within_ns, lambda: self._cut(late))
 
     def _cut(self, why: OSError | None) -> None:
         if self.stream is not None:
@@ -101,5 +101,5 @@
         # Guards against hammering a gateway that answers the range and ends each watch at once.
         if self._watch is not None and self.loop.now - self._watched_since > LONGEST_PAUSE_NS:
             self.pause_ns = FIRST_PAUSE_NS
-        self.loop.deadlines.at(self.loop.now + self.pause_ns, self.start)
+        self.loop.timers.schedule(self.loop.now + self.pause_ns, self.start)
         self.pause_ns = min(2 * self.pause_ns, LONGEST_PAUSE_NS)
--- a/arrowrail/wire/m3ua/back.py
+++ b/arrowrail/wire/m3ua/back.py
@@ -10,12 +10,12 @@
 from loguru import logger
 
 from arrowrail.core.engine import Core
-from arrowrail.core.requests import CAUSE_CONNECTION_FAILED, MS, Q850_CUT, Offer
+from arrowrail.core.requests import CAUSE_CONNECTION_FAILED, MS, Q850_TEMPORARY_FAILURE, SetUpParams
 from arrowrail.failure_detection.endpoint import EndpointMonitor
 from arrowrail.loop import Loop
-from arrowrail.state.address import DIGITS
-from arrowrail.state.deadlines import Deadline
+from arrowrail.state.address import CALLED_NUMBER_DIGITS
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, Endpoint
+from arrowrail.state.timers import Timer
 from arrowrail.wire.m3ua import causes
 from arrowrail.wire.m3ua.isup import UUI_MAX, Isup, IsupType
 from arrowrail.wire.m3ua.link import ACTIVE, Association, M3uaSettings
@@ -35,11 +35,11 @@
 
     call: str
     cics: list[int]
-    offer: Offer
+    offer: SetUpParams
     sent: bool = False  # the IAM was handed to the connection
     answered: bool = False
     clearing: bool = False
-    t1: Deadline | None = None
+    t1: Timer | None = None
 
 
 @dataclass(slots=True)
@@ -63,15 +63,15 @@
     # --- The association --------------------------------------------------------------------------------
 
     def open(self) -> None:
-        if self.link is not None or self.desk.told.state == TERMINATED:
+        if self.link is not None or self.desk.entry.state == TERMINATED:
             return
         self.retry.cancel()
         loop = self.back.loop
         link = self.link = Association(loop, self.back.settings, self, True)
         try:
-            stream = link.stream = connect(loop, link, self.desk.told.endpoint)
+            stream = link.stream = connect(loop, link, self.desk.entry.address)
         except OSError as why:  # no descriptor left
-            loop.deadlines.at(loop.now, partial(self.lost, link, why))
+            loop.timers.schedule(loop.now, partial(self.lost, link, why))
             return
         self.retry.within(self.back.connect_timeout_ns, stream)
 
@@ -105,12 +105,12 @@
             self.back.core.attempt_failed(
                 self.desk, use.call, outcome, 0 if never_up else CAUSE_CONNECTION_FAILED
             )
-        if self.desk.told.state == TERMINATED:
+        if self.desk.entry.state == TERMINATED:
             return
-        logger.debug("association with {} lost: {}", self.desk.told.uid, why)
+        logger.debug("association with {} lost: {}", self.desk.entry.uid, why)
         self.retry.failed()
         if why is not None and why.errno == errno.ECONNREFUSED:
-            self.monitor.refused(self.back.loop.now)
+            self.monitor.connection_refused(self.back.loop.now)
         elif never_up:
             self.monitor.check_failed(self.back.loop.now)
         self.look()
@@ -120,11 +120,13 @@
         now, core = self.back.loop.now, self.back.core
         link = self.link
         if link is not None and link.state == ACTIVE:
-            self.monitor.heard(link.heard_ns, link.heard_ns)
-        loss = self.monitor.loss(now)
+            self.monitor.data_received(link.heard_ns, link.heard_ns)
+        loss = self.monitor.detect_loss(now)
         if loss is not None:
-            core.server_lost(self.desk, loss.reason, loss.before_ns)
-        elif link is not None and core.standing[self.desk.office] and self.monitor.check_due(now):
+            core.endpoint_lost(self.desk, loss.reason, loss.before_ns)
+        elif (
+            link is not None and core.established_calls[self.desk.endpoint_id] and self.monitor.check_due(now)
+        ):
             link.check()
 
     def close(self) -> None:
@@ -138,18 +140,20 @@
 
     # --- Calls ------------------------------------------------------------------------------------------
 
-    def set_up(self, offer: Offer) -> None:
+    def set_up(self, offer: SetUpParams) -> None:
         core = self.back.core
-        if len(offer.description) > UUI_MAX or any(d not in DIGITS for d in offer.number.upper()):
-            logger.warning("a set-up that ISUP can't carry: {} bytes", len(offer.description))
-            core.attempt_failed(self.desk, offer.call, "not_sent")
+        if len(offer.session_description) > UUI_MAX or any(
+            d not in CALLED_NUMBER_DIGITS for d in offer.called_number.upper()
+        ):
+            logger.warning("a set-up that ISUP can't carry: {} bytes", len(offer.session_description))
+            core.attempt_failed(self.desk, offer.call_id, "not_sent")
             return
         if len(self.idle) < offer.width:
-            core.attempt_failed(self.desk, offer.call, "not_sent", NO_CIRCUIT)
+            core.attempt_failed(self.desk, offer.call_id, "not_sent", NO_CIRCUIT)
             return
         cics = [self.idle.popleft() for _ in range(offer.width)]
-        use = Use(offer.call, cics, offer)
-        self.uses[cics[0]] = self.calls[offer.call] = use
+        use = Use(offer.call_id, cics, offer)
+        self.uses[cics[0]] = self.calls[offer.call_id] = use
         self.tell_group()
         if self.link is not None and self.link.state == ACTIVE:
             self._send_iam(use)
@@ -161,10 +165,10 @@
             category, requirement = self.back.bearer(use.offer.class_name)
             iam = Isup(
                 use.cics[0], IsupType.IAM, category=category, requirement=requirement,
-                called=use.offer.number.upper(), uui=use.offer.description,
+                called=use.offer.called_number.upper(), uui=use.offer.session_description,
             )  # fmt: skip
             use.sent = True
-            self.link.send_isup(self.desk.told.point_code, iam, use.call)
+            self.link.send_isup(self.desk.entry.point_code, iam, use.call)
 
     def take_back(self, call: str) -> bool:
         """Guards against a queued set-up leaving after its call has ended or its exchange drains."""
@@ -186,10 +190,10 @@
         """REL, again each T1 until the RLC: until then its circuits are not idle."""
         use.clearing = True
         if self.link is not None and self.link.state == ACTIVE:
-            self.link.send_isup(self.desk.told.point_code, Isup(use.cics[0], IsupType.REL, cause=cause))
+            self.link.send_isup(self.desk.entry.point_code, Isup(use.cics[0], IsupType.REL, cause=cause))
         if use.t1 is not None:
             use.t1.cancel()
-        use.t1 = self.back.loop.deadlines.at(self.back.loop.now + T1_NS, lambda: self._clear(use, cause))
+        use.t1 = self.back.loop.timers.schedule(self.back.loop.now + T1_NS, lambda: self._clear(use, cause))
 
     def _free(self, use: Use) -> None:
         if use.t1 is not None:
@@ -201,7 +205,7 @@
 
     def tell_group(self) -> None:
         if self.link is not None and self.link.state == ACTIVE:
-            self.back.core.group_state(self.desk, len(self.idle), self.size)
+            self.back.core.trunk_group_changed(self.desk, len(self.idle), self.size)
 
     def isup(self, link: Association, label: ProtocolData, m: Isup) -> None:
         core, use = self.back.core, self.uses.get(m.cic)
@@ -210,18 +214,18 @@
         elif m.kind == IsupType.IAM and use is None:
             # Calls come in over the front only; one that begins here is told so, not left to ring.
             link.send_isup(label.opc, Isup(m.cic, IsupType.REL, cause=FACILITY_REJECTED))
-        if use is None or label.opc != self.desk.told.point_code:
+        if use is None or label.opc != self.desk.entry.point_code:
             return
         if m.kind == IsupType.ANM and not use.clearing:
             use.answered = True
-            core.desk_answered(self.desk, use.call, m.uui)
+            core.endpoint_answered(self.desk, use.call, m.uui)
         elif m.kind in (IsupType.REL, IsupType.RSC):
             # A processor that has started anew resets its circuits: what was on them is cut.
-            cause = m.cause if m.kind == IsupType.REL else Q850_CUT
+            cause = m.cause if m.kind == IsupType.REL else Q850_TEMPORARY_FAILURE
             clearing = use.clearing
             self._free(use)
             if not clearing:
-                core.desk_released(self.desk, use.call, causes.ended_by(cause), cause)
+                core.endpoint_released(self.desk, use.call, causes.ended_by(cause), cause)
                 # After the outcome: 'no circuit' beyond the peer says nothing of the circuits toward it.
                 self.tell_group()
         elif m.kind == IsupType.RLC and use.clearing:
@@ -237,13 +241,13 @@
         self.connect_timeout_ns = connect_timeout_ns
         self.trunks: dict[int, Trunk] = {}
         self.use(classes)
-        core.backs["m3ua"] = self
-        self.loop.deadlines.at(self.loop.now + SWEEP_NS, self._sweep)
+        core.backends["m3ua"] = self
+        self.loop.timers.schedule(self.loop.now + SWEEP_NS, self._sweep)
 
     def _sweep(self) -> None:
         for trunk in list(self.trunks.values()):
             trunk.look()
-        self.loop.deadlines.at(self.loop.now + SWEEP_NS, self._sweep)
+        self.loop.timers.schedule(self.loop.now + SWEEP_NS, self._sweep)
 
     def use(self, classes: tuple[ClassRule, ...]) -> None:
         self._classes = {c.class_name: c for c in reversed(classes)}
@@ -254,34 +258,34 @@
         category = rule.category if rule is not None and rule.category is not None else 0x0A
         return category, (rule.requirement if rule is not None and rule.requirement is not None else 0)
 
-    def changed(self, desk: Endpoint) -> None:
-        trunk = self.trunks.get(desk.office)
-        if desk.told.state == IN_SERVICE:
+    def endpoint_changed(self, desk: Endpoint) -> None:
+        trunk = self.trunks.get(desk.endpoint_id)
+        if desk.entry.state == IN_SERVICE:
             self._trunk(desk).open()
         elif trunk is not None:
             for call in list(trunk.calls):
                 if trunk.take_back(call):
                     self.core.attempt_failed(desk, call, "not_sent")
-            if desk.told.state == TERMINATED:
+            if desk.entry.state == TERMINATED:
                 trunk.close()
-                del self.trunks[desk.office]
+                del self.trunks[desk.endpoint_id]
 
     def _trunk(self, desk: Endpoint) -> Trunk:
-        trunk = self.trunks.get(desk.office)
+        trunk = self.trunks.get(desk.endpoint_id)
         if trunk is None:
-            size = desk.told.circuits or self.circuits
-            trunk = self.trunks[desk.office] = Trunk(self, desk, size, deque(range(1, size + 1)))
+            size = desk.entry.circuits or self.circuits
+            trunk = self.trunks[desk.endpoint_id] = Trunk(self, desk, size, deque(range(1, size + 1)))
         return trunk
 
-    def set_up(self, desk: Endpoint, offer: Offer, _wait_ns: int) -> None:
+    def set_up(self, desk: Endpoint, offer: SetUpParams, _wait_ns: int) -> None:
         self._trunk(desk).set_up(offer)
 
-    def give_up(self, desk: Endpoint, call: str) -> None:
-        trunk = self.trunks.get(desk.office)
+    def cancel_set_up(self, desk: Endpoint, call: str) -> None:
+        trunk = self.trunks.get(desk.endpoint_id)
         if trunk is not None and not trunk.take_back(call):
             trunk.release(call, causes.NORMAL)
 
     def release(self, desk: Endpoint, call: str, cause: int) -> None:
-        trunk = self.trunks.get(desk.office)
+        trunk = self.trunks.get(desk.endpoint_id)
         if trunk is not None:
             trunk.release(call, cause)
--- a/arrowrail/wire/m3ua/causes.py
+++ b/arrowrail/wire/m3ua/causes.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from arrowrail.core.requests import FAILED, NO_ROUTE, OVER_LIMIT, Answer, Ended
+from arrowrail.core.requests import FAILED, NO_ROUTE, OVER_LIMIT, FinalResponse, ReleaseOutcome
 
 NORMAL = 16
 
@@ -59,17 +59,19 @@
 FAILED_OTHERWISE = 41
 
 
-def cause_of(answer: Answer) -> int:
+def cause_of(answer: FinalResponse) -> int:
     """The cause of the release that carries a final answer 'refused' or 'failed'."""
     low = answer.cause % 16 if answer.cause != 18 else 18  # above 16, the module's cause holds a wait
-    table = FAILED_CAUSES if answer.kind == FAILED else REFUSED_CAUSES
+    table = FAILED_CAUSES if answer.result == FAILED else REFUSED_CAUSES
     for key in ((answer.outcome, low), (answer.outcome, None)):
         if key in table:
             return table[key]
-    return FAILED_OTHERWISE if answer.kind == FAILED else 34
+    return FAILED_OTHERWISE if answer.result == FAILED else 34
 
 
-def ended_by(cause: int) -> Ended:
+def ended_by(cause: int) -> ReleaseOutcome:
     """What a desk exchange's REL means, before and after its answer."""
     row = BY_CAUSE.get(cause, UNKNOWN)
-    return Ended(row.outcome, row.cause, "served" if cause in (NORMAL, UNKNOWN.q850) else "connection_lost")
+    return ReleaseOutcome(
+        row.outcome, row.cause, "served" if cause in (NORMAL, UNKNOWN.q850) else "connection_lost"
+    )
--- a/arrowrail/wire/m3ua/front.py
+++ b/arrowrail/wire/m3ua/front.py
@@ -9,10 +9,10 @@
 from loguru import logger
 
 from arrowrail.core.engine import Core
-from arrowrail.core.requests import MS, STANDS, Answer, Offer, Request
+from arrowrail.core.requests import ESTABLISHED, MS, FinalResponse, Request, SetUpParams
 from arrowrail.loop import Loop
-from arrowrail.state.deadlines import Deadline
 from arrowrail.state.slots import SlotTable
+from arrowrail.state.timers import Timer
 from arrowrail.wire.listener import Listener
 from arrowrail.wire.m3ua import causes
 from arrowrail.wire.m3ua.isup import UUI_MAX, Isup, IsupType
@@ -36,7 +36,7 @@
     line: int
     standing: bool = False
     clearing: bool = False
-    t1: Deadline | None = None
+    t1: Timer | None = None
 
 
 class M3uaFront:
@@ -57,7 +57,7 @@
         self.numbers = sorted(numbers, key=lambda n: -len(n.prefix))  # the longest prefix wins
 
     def start(self) -> None:
-        self.core.fronts.append(self)
+        self.core.frontends.append(self)
         self.listener = Listener(
             self.loop, self.address, self._accepted, lambda: len(self.links) < MAX_CLIENTS, self._close_idlest
         )
@@ -89,7 +89,7 @@
         self.links.remove(link.handle)
         for circuit in list(self.circuits.values()):
             if circuit.line == link.handle and not circuit.standing and not circuit.clearing:
-                self.core.caller_gone(circuit.call)
+                self.core.caller_abandoned(circuit.call)
                 self._drop(circuit)
         if self.listener is not None:
             self.listener.resume()
@@ -105,7 +105,7 @@
             link.send_isup(label.opc, Isup(message.cic, IsupType.RLC))
             if circuit is not None:
                 if not circuit.clearing and not self.core.caller_released(circuit.call):
-                    self.core.caller_gone(circuit.call)
+                    self.core.caller_abandoned(circuit.call)
                 self._drop(circuit)
         elif message.kind == IsupType.RLC and circuit is not None and circuit.clearing:
             self._drop(circuit)
@@ -130,34 +130,36 @@
             self._release(circuit, UNALLOCATED if exchange is None or not m.called else NOT_IMPLEMENTED)
             return
         self.by_call[circuit.call] = key
-        offer = Offer(
+        offer = SetUpParams(
             circuit.call, rule.class_name, m.called, int(m.called, 16), exchange, rule.width,
             self.loop.now + rule.deadline_ns, m.uui,
         )  # fmt: skip
-        self.core.offer(self, link.handle, offer)
+        self.core.submit(self, link.handle, offer)
 
     # --- From the core ----------------------------------------------------------------------------------
 
-    def answer(self, request: Request, answer: Answer) -> None:
-        circuit = self._circuit(request.offer.call)
+    def respond(self, request: Request, answer: FinalResponse) -> None:
+        circuit = self._circuit(request.params.call_id)
         if circuit is None:
             return
         link = self.links.get(circuit.line)
-        if answer.kind != STANDS:
-            level = 1 if answer.stay_away_ns > 0 else 0  # ISUP's word for "come back later"
+        if answer.result != ESTABLISHED:
+            level = 1 if answer.retry_after_ns > 0 else 0  # ISUP's word for "come back later"
             self._release(circuit, causes.cause_of(answer), level)
-        elif len(answer.description) > UUI_MAX or link is None:
+        elif len(answer.session_description) > UUI_MAX or link is None:
             # It can't be passed on whole, and half a description is none: the call is cleared both ways.
-            logger.warning("an answer's description of {} bytes can't be passed on", len(answer.description))
+            logger.warning(
+                "an answer's description of {} bytes can't be passed on", len(answer.session_description)
+            )
             self.core.caller_released(circuit.call)
             self._release(circuit, INTERWORKING)
         else:
             circuit.standing = True
             link.send_isup(circuit.key[0], Isup(circuit.key[1], IsupType.ACM))
-            link.send_isup(circuit.key[0], Isup(circuit.key[1], IsupType.ANM, uui=answer.description))
+            link.send_isup(circuit.key[0], Isup(circuit.key[1], IsupType.ANM, uui=answer.session_description))
 
     def release(self, request: Request, cause: int) -> None:
-        circuit = self._circuit(request.offer.call)
+        circuit = self._circuit(request.params.call_id)
         if circuit is not None:
             self._release(circuit, cause)
 
@@ -190,7 +192,7 @@
             circuit.t1.cancel()
         wait = T1_NS if link is not None else RELEASE_KEPT_NS
         act = (lambda: self._release(circuit, cause)) if link is not None else (lambda: self._drop(circuit))
-        circuit.t1 = self.loop.deadlines.at(self.loop.now + wait, act)
+        circuit.t1 = self.loop.timers.schedule(self.loop.now + wait, act)
 
     def _drop(self, circuit: Circuit) -> None:
         if circuit.t1 is not None:
--- a/arrowrail/wire/m3ua/isup.py
+++ b/arrowrail/wire/m3ua/isup.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from arrowrail.state.address import DIGITS
+from arrowrail.state.address import CALLED_NUMBER_DIGITS
 
 CIC_MAX = 0xFFF
 UUI_MAX = 255 - 1  # an optional parameter's length is one byte; the first of its bytes is the discriminator
@@ -142,7 +142,7 @@
 
 
 def _write_number(digits: str) -> bytes:
-    if any(d not in DIGITS for d in digits) or not digits:
+    if any(d not in CALLED_NUMBER_DIGITS for d in digits) or not digits:
         raise IsupError(f"number {digits!r}")
     odd = len(digits) % 2
     padded = digits + "0" * odd
--- a/arrowrail/wire/m3ua/link.py
+++ b/arrowrail/wire/m3ua/link.py
@@ -10,7 +10,7 @@
 
 from arrowrail.core.requests import MS
 from arrowrail.loop import Loop
-from arrowrail.state.deadlines import Deadline
+from arrowrail.state.timers import Timer
 from arrowrail.wire.m3ua import isup
 from arrowrail.wire.m3ua import messages as m3ua
 from arrowrail.wire.m3ua.isup import Isup, IsupError
@@ -50,9 +50,9 @@
         self.stream: Stream | None = None
         self.handle = 0  # the front's slot
         self._parser = m3ua.M3uaParser()
-        self._handshake: Deadline | None = None
-        self._checking: Deadline | None = None
-        self._beat: Deadline | None = None
+        self._handshake: Timer | None = None
+        self._checking: Timer | None = None
+        self._beat: Timer | None = None
         self._heard_at = loop.now
         self.bad = Tally(loop)
         self._unfinished = Unfinished(loop, UNFINISHED_NS, self._stalled)
@@ -61,7 +61,7 @@
 
     def connected(self) -> None:
         self._heard_at = self.loop.now
-        self._beat = self.loop.deadlines.at(self.loop.now + self.settings.heartbeat_ns, self._heartbeat)
+        self._beat = self.loop.timers.schedule(self.loop.now + self.settings.heartbeat_ns, self._heartbeat)
         if self.asks:
             self._ask(Kind.ASPUP)
         else:
@@ -131,7 +131,7 @@
             return
         self._beat_now()
         sent = self.loop.now
-        self._checking = self.loop.deadlines.at(sent + BEAT_ANSWER_NS, lambda: self._checked(sent))
+        self._checking = self.loop.timers.schedule(sent + BEAT_ANSWER_NS, lambda: self._checked(sent))
 
     def _checked(self, sent_ns: int) -> None:
         self._checking = None
@@ -151,7 +151,7 @@
             return
         if self.state != DOWN:
             self._beat_now()
-        self._beat = self.loop.deadlines.at(self.loop.now + self.settings.heartbeat_ns, self._heartbeat)
+        self._beat = self.loop.timers.schedule(self.loop.now + self.settings.heartbeat_ns, self._heartbeat)
 
     # --- The handshake ----------------------------------------------------------------------------------
 
@@ -165,7 +165,7 @@
             self._handshake.cancel()
         late = OSError(errno.ETIMEDOUT, f"no answer to {kind.name}")
         stream = self.stream
-        self._handshake = self.loop.deadlines.at(
+        self._handshake = self.loop.timers.schedule(
             self.loop.now + HANDSHAKE_NS, lambda: stream.fail(late) if stream is not None else None
         )
 
--- a/arrowrail/wire/reconnect.py
+++ b/arrowrail/wire/reconnect.py
@@ -7,7 +7,7 @@
 
 from arrowrail.core.requests import MS
 from arrowrail.loop import Loop
-from arrowrail.state.deadlines import Deadline
+from arrowrail.state.timers import Timer
 from arrowrail.wire.stream import Stream
 
 FIRST_PAUSE_NS, LONGEST_PAUSE_NS = 50 * MS, 1_000 * MS
@@ -17,13 +17,13 @@
     def __init__(self, loop: Loop, open_: Callable[[], None]) -> None:
         self._loop, self._open = loop, open_
         self._pause = FIRST_PAUSE_NS
-        self._again: Deadline | None = None
-        self._timeout: Deadline | None = None
+        self._again: Timer | None = None
+        self._timeout: Timer | None = None
 
     def within(self, limit_ns: int, stream: Stream) -> None:
         """Fail the stream if it does not come up in time: a machine that vanished answers nothing."""
         late = OSError(errno.ETIMEDOUT, "connect")
-        self._timeout = self._loop.deadlines.at(
+        self._timeout = self._loop.timers.schedule(
             self._loop.now + limit_ns, lambda: stream.fail(late) if stream.connecting else None
         )
 
@@ -33,7 +33,7 @@
     def failed(self) -> None:
         """Try again later, at doubling pauses."""
         self.cancel()
-        self._again = self._loop.deadlines.at(self._loop.now + self._pause, self._open)
+        self._again = self._loop.timers.schedule(self._loop.now + self._pause, self._open)
         self._pause = min(2 * self._pause, LONGEST_PAUSE_NS)
 
     def cancel(self) -> None:
--- a/arrowrail/wire/sip/front.py
+++ b/arrowrail/wire/sip/front.py
@@ -7,7 +7,16 @@
 from dataclasses import dataclass, field, replace
 
 from arrowrail.core.engine import Core
-from arrowrail.core.requests import FAILED, MS, NO_ROUTE, REFUSED, STANDS, Answer, Offer, Request
+from arrowrail.core.requests import (
+    ESTABLISHED,
+    FAILED,
+    MS,
+    NO_ROUTE,
+    REFUSED,
+    FinalResponse,
+    Request,
+    SetUpParams,
+)
 from arrowrail.loop import Loop
 from arrowrail.state.slots import SlotTable
 from arrowrail.wire.listener import Listener
@@ -110,9 +119,9 @@
         self.malformed_seen = Tally(self.loop)
 
     def start(self) -> None:
-        self.core.fronts.append(self)
+        self.core.frontends.append(self)
         self.listener = Listener(self.loop, self.address, self._accepted, self._room, self._close_idlest)
-        self.loop.deadlines.at(self.loop.now + SWEEP_NS, self._sweep)
+        self.loop.timers.schedule(self.loop.now + SWEEP_NS, self._sweep)
 
     # --- Connections ------------------------------------------------------------------------------------
 
@@ -122,8 +131,8 @@
 
     def _room(self) -> bool:
         if self.most_callers:
-            return len(self.callers) + len(self.loop.leaving) < self.most_callers
-        return len(self.callers) + len(self.loop.leaving) < max(8, self.max_sockets - RESERVED)
+            return len(self.callers) + len(self.loop.closing_streams) < self.most_callers
+        return len(self.callers) + len(self.loop.closing_streams) < max(8, self.max_sockets - RESERVED)
 
     def _close_idlest(self) -> bool:
         """Who was told its last word goes first, then who says nothing, then who has idled for long.
@@ -131,8 +140,8 @@
         Guards against a set-up being destroyed unread: who has just come gets time to speak, and nobody is
         closed whose input waits.
         """
-        if self.loop.leaving:
-            next(iter(self.loop.leaving)).fail(None)
+        if self.loop.closing_streams:
+            next(iter(self.loop.closing_streams)).fail(None)
             return True
         now = self.loop.now
 
@@ -162,7 +171,7 @@
     def _refuse_open(self, call: str, caller: Caller, status: int) -> None:
         """Its caller has made the set-up unusable: that ends it, and this is its one answer."""
         dialog = self.dialogs[call]
-        self.core.caller_gone(call)
+        self.core.caller_abandoned(call)
         self._end(call, caller, sip.response(status, dialog.invite))
 
     def _close(self, caller: Caller) -> None:
@@ -178,7 +187,7 @@
         self.releases.expire(now)
         if self.listener is not None:
             self.listener.resume()
-        self.loop.deadlines.at(now + SWEEP_NS, self._sweep)
+        self.loop.timers.schedule(now + SWEEP_NS, self._sweep)
 
     def gone(self, caller: Caller) -> None:
         if self.callers.remove(caller.handle) is None:
@@ -186,7 +195,7 @@
         caller.unfinished.cancel()
         for call in caller.open_calls:
             self.dialogs.pop(call, None)
-            self.core.caller_gone(call)
+            self.core.caller_abandoned(call)
         caller.open_calls = set()
         self.releases.connection_gone(caller.handle)
         self.releases.deliver()
@@ -222,12 +231,12 @@
         elif message.method == "BYE" and self._waits(message.call_id):
             self._cancel(caller, message)  # released before it stood: given up
         elif message.method == "BYE":
-            known = self.core.caller_released(message.call_id) or message.call_id in self.core.ended
+            known = self.core.caller_released(message.call_id) or message.call_id in self.core.ended_calls
             self.dialogs.pop(message.call_id, None)
             caller.stream.send(sip.response(200 if known else 481, message))
         elif message.method == "OPTIONS":
             caller.proven = True
-            caller.stream.send(sip.response(200 if self.core.listed else 503, message))
+            caller.stream.send(sip.response(200 if self.core.list_received else 503, message))
         else:
             caller.stream.send(sip.response(405, message))
 
@@ -239,22 +248,22 @@
         call = message.call_id
         try:
             offer = read_invite(message, self.loop.now, self.core.admission is not None)
-            if not self.core.carries(offer.class_name):
+            if not self.core.supports_class(offer.class_name):
                 raise ValueError("no such class")
             request = self.core.find(call)
-            if request is not None and not same_call(request.offer, offer, self.core.admission is not None):
+            if request is not None and not same_call(request.params, offer, self.core.admission is not None):
                 raise ValueError("the id of another call")
         except ValueError as wrong:
             self.malformed(caller, sip.Malformed(400, str(wrong), message, False))
             return
-        if not self.core.offer(self, caller.handle, offer):
+        if not self.core.submit(self, caller.handle, offer):
             if request is None:  # it is over, and its answer may not have arrived
                 caller.stream.send(sip.response(503, message))
             return  # sent again: the first one's answer is the only one
         caller.proven = True
         message.body = b""
-        self.dialogs[offer.call] = Dialog(message)
-        caller.open_calls.add(offer.call)
+        self.dialogs[offer.call_id] = Dialog(message)
+        caller.open_calls.add(offer.call_id)
 
     def _cancel(self, caller: Caller, message: sip.SipMessage) -> None:
         call = message.call_id
@@ -268,22 +277,22 @@
             self.dialogs.pop(call, None)
             return
         request = self.core.find(call)
-        home = self.callers.get(request.line) if request is not None else None
-        self.core.caller_gone(call)
+        home = self.callers.get(request.connection_id) if request is not None else None
+        self.core.caller_abandoned(call)
         self._end(call, home, sip.response(487, dialog.invite))
 
     # --- From the core ----------------------------------------------------------------------------------
 
-    def answer(self, request: Request, answer: Answer) -> None:
-        call = request.offer.call
+    def respond(self, request: Request, answer: FinalResponse) -> None:
+        call = request.params.call_id
         dialog = self.dialogs.get(call)
-        caller = self.callers.get(request.line)
+        caller = self.callers.get(request.connection_id)
         if dialog is None:
             return
-        if answer.kind == STANDS:
+        if answer.result == ESTABLISHED:
             dialog.standing = True
             data = sip.response(
-                200, dialog.invite, (("Content-Type", "application/sdp"),), answer.description
+                200, dialog.invite, (("Content-Type", "application/sdp"),), answer.session_description
             )
             if caller is not None:
                 caller.open_calls.discard(call)
@@ -292,8 +301,8 @@
                     caller.stood = True
                     self.releases.deliver()
             return
-        extra = [("X-Later-Ms", str(-(-answer.stay_away_ns // MS)))] if answer.stay_away_ns > 0 else []
-        status = 404 if answer.outcome == NO_ROUTE else STATUS[answer.kind]
+        extra = [("X-Later-Ms", str(-(-answer.retry_after_ns // MS)))] if answer.retry_after_ns > 0 else []
+        status = 404 if answer.outcome == NO_ROUTE else STATUS[answer.result]
         self._end(call, caller, sip.response(status, dialog.invite, extra))
 
     def _end(self, call: str, caller: Caller | None, data: bytes) -> None:
@@ -304,9 +313,9 @@
             caller.stream.send(data)
 
     def release(self, request: Request, cause: int) -> None:
-        dialog = self.dialogs.pop(request.offer.call, None)
+        dialog = self.dialogs.pop(request.params.call_id, None)
         uri = dialog.invite.uri if dialog is not None else "sip:peer@net"
-        self._bye(request.offer.call, uri, cause, self.callers.get(request.line))
+        self._bye(request.params.call_id, uri, cause, self.callers.get(request.connection_id))
 
     def release_unknown(self, call: str, cause: int) -> None:
         self._bye(call, "sip:peer@net", cause, None)
@@ -331,7 +340,7 @@
 FIGURE = re.compile(r"-?[0-9]{1,12}")
 
 
-def same_call(one: Offer, other: Offer, routed: bool = False) -> bool:
+def same_call(one: SetUpParams, other: SetUpParams, routed: bool = False) -> bool:
     """Whether two set-ups ask for the same, but for the time at which they came, and where they are led."""
     if routed:
         one = replace(one, destination=-1, width=1, route="")
@@ -345,7 +354,7 @@
     return int(text)
 
 
-def read_invite(message: sip.SipMessage, now: int, routed: bool = False) -> Offer:
+def read_invite(message: sip.SipMessage, now: int, routed: bool = False) -> SetUpParams:
     """The request that a set-up asks for; ``ValueError`` names the field that is missing or wrong.
 
     ``routed``: the way follows from the number or ``X-District``, so that no facts are needed.
@@ -363,14 +372,14 @@
         raise ValueError("no description")
     patience = _figure(headers["x-patience"], 0, 86_400_000)
     if routed:
-        return Offer(
+        return SetUpParams(
             message.call_id, headers["subject"], number, int(number, 16), -1, 1, now + patience * MS,
             message.body, redialled="x-retry" in headers, district=headers.get("x-district", ""),
         )  # fmt: skip
     facts = dict(part.split(":", 1) for part in headers["x-facts"].split(";") if ":" in part)
     if "dest" not in facts:
         raise ValueError("no dest among the facts")
-    return Offer(
+    return SetUpParams(
         message.call_id, headers["subject"], number, int(number, 16), _figure(facts["dest"], 0, 1 << 20),
         _figure(facts.get("width", "1"), 1, 1024), now + patience * MS, message.body,
         facts.get("transit") == "1", "x-retry" in headers, facts.get("again") == "1",
--- a/arrowrail/wire/sip/releases.py
+++ b/arrowrail/wire/sip/releases.py
@@ -14,7 +14,7 @@
 from arrowrail.core.requests import MS
 from arrowrail.loop import Loop
 from arrowrail.state.slots import SlotTable
-from arrowrail.telemetry.events import call_event, event, some_ids
+from arrowrail.telemetry.events import call_event, event, first_ids
 
 if TYPE_CHECKING:
     from arrowrail.wire.sip.front import Caller
@@ -71,7 +71,7 @@
         if unsent:
             self.core.metrics.count("release.undelivered", amount=len(unsent))
             event("release.undelivered", "{calls} releases found no caller to go to: {ids}", level="WARNING",
-                  calls=len(unsent), ids=some_ids(unsent))  # fmt: skip
+                  calls=len(unsent), ids=first_ids(unsent))  # fmt: skip
         self.pending = {call: release for call, release in self.pending.items() if release.until > now}
 
     def deliver(self) -> None:
@@ -94,7 +94,7 @@
             waiting = waiting or (best is not None and not release.connection)
         if waiting and self._again_at <= now:
             self._again_at = now + PATIENCE_NS
-            self.loop.deadlines.at(self._again_at, self.deliver)
+            self.loop.timers.schedule(self._again_at, self.deliver)
 
     def _hand_over(self, release: PendingRelease, caller: Caller) -> None:
         release.connection, release.trust = caller.handle, caller.trust
--- a/arrowrail/wire/stream.py
+++ b/arrowrail/wire/stream.py
@@ -63,7 +63,7 @@
     stream = Stream(loop, sock, owner, True)
     number = sock.connect_ex((host, port))
     if number not in (0, errno.EINPROGRESS):
-        loop.deadlines.at(loop.now, lambda: stream.fail(OSError(number, "connect")))
+        loop.timers.schedule(loop.now, lambda: stream.fail(OSError(number, "connect")))
     return stream
 
 
@@ -91,7 +91,7 @@
         self._size += len(data)
         if self._size > self._limit:
             # From the loop, so that no sender finds its own connection gone in the middle of a turn.
-            self.loop.deadlines.at(
+            self.loop.timers.schedule(
                 self.loop.now, lambda: self.fail(OSError(errno.ENOBUFS, "peer reads nothing"))
             )
         elif not self.connecting and len(self._out) == 1:
@@ -146,10 +146,10 @@
         if not self.open or self.connecting or self.finishing:
             return
         self.finishing = True
-        self.loop.leaving[self] = None
-        if len(self.loop.leaving) > MOST_LEAVING:
-            next(iter(self.loop.leaving)).fail(None)
-        self.loop.deadlines.at(self.loop.now + LINGER_NS, lambda: self.fail(None))
+        self.loop.closing_streams[self] = None
+        if len(self.loop.closing_streams) > MOST_LEAVING:
+            next(iter(self.loop.closing_streams)).fail(None)
+        self.loop.timers.schedule(self.loop.now + LINGER_NS, lambda: self.fail(None))
         self._flush()
 
     def fail(self, why: OSError | None) -> None:
@@ -161,7 +161,7 @@
 
     def _shut(self) -> None:
         self.open = False
-        self.loop.leaving.pop(self, None)
+        self.loop.closing_streams.pop(self, None)
         self.loop.unwatch(self.sock)
         self.sock.close()
 
@@ -218,7 +218,7 @@
         except OSError as why:
             # The read side tells the rest: what the peer said before it broke off is still worth hearing.
             logger.debug("write failed: {}", why)
-            self.loop.deadlines.at(self.loop.now, partial(self.fail, why))
+            self.loop.timers.schedule(self.loop.now, partial(self.fail, why))
             return
         if not self.open:
             return
--- a/arrowrail/wire/unfinished.py
+++ b/arrowrail/wire/unfinished.py
@@ -8,7 +8,7 @@
 
 from arrowrail.core.requests import MS
 from arrowrail.loop import Loop
-from arrowrail.state.deadlines import Deadline
+from arrowrail.state.timers import Timer
 
 LOG_PAUSE_NS = 5_000 * MS
 
@@ -20,14 +20,14 @@
 
     def __init__(self, loop: Loop, limit_ns: int, late: Callable[[], None]) -> None:
         self._loop, self._limit, self._late = loop, limit_ns, late
-        self._deadline: Deadline | None = None
+        self._deadline: Timer | None = None
 
     def heard(self, pending: bool, finished: bool) -> None:
         """After each read: whether a message is begun, and whether any has been finished by it."""
         if self._deadline is not None and (finished or not pending):
             self.cancel()
         if pending and self._deadline is None:
-            self._deadline = self._loop.deadlines.at(self._loop.now + self._limit, self._late)
+            self._deadline = self._loop.timers.schedule(self._loop.now + self._limit, self._late)
 
     def cancel(self) -> None:
         if self._deadline is not None:
--- a/tests/live.py
+++ b/tests/live.py
@@ -178,7 +178,7 @@
 
     def __init__(self, config: Config, operator: Controller | None, per_desk: int) -> None:
         self.program = Program(config, operator)
-        back: Any = self.program.core.backs["binary"]
+        back: Any = self.program.core.backends["binary"]
         back.per_desk = per_desk
         self.core = self.program.core
         self._end = False
@@ -242,7 +242,7 @@
         yield run
     finally:
         run.stop()
-    assert run.core.defects == defects
+    assert run.core.internal_errors == defects
 
 
 class BusStand:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,9 +7,9 @@
 import pytest
 
 from arrowrail.core.engine import Core
-from arrowrail.core.requests import MS, Answer, Ended, Offer, Request
-from arrowrail.state.deadlines import Deadlines
+from arrowrail.core.requests import MS, FinalResponse, ReleaseOutcome, Request, SetUpParams
 from arrowrail.state.endpoints import Endpoint, EndpointEntry
+from arrowrail.state.timers import TimerQueue
 from tests.live import settings
 from trackhatch import interface
 from trackhatch.simhost import read_settings
@@ -41,8 +41,8 @@
     def __init__(self) -> None:
         self.said: list[tuple[Any, ...]] = []
 
-    def answer(self, _request: Request, answer: Answer) -> None:
-        self.said.append(("answer", answer.kind))
+    def respond(self, _request: Request, answer: FinalResponse) -> None:
+        self.said.append(("answer", answer.result))
 
     def release(self, *what: Any) -> None:
         self.said.append(("release", what[-1]))
@@ -53,36 +53,36 @@
     def flushed(self) -> bool:
         return True
 
-    def changed(self, desk: Endpoint) -> None:
-        self.said.append(("changed", desk.office, desk.told.state))
+    def endpoint_changed(self, desk: Endpoint) -> None:
+        self.said.append(("changed", desk.endpoint_id, desk.entry.state))
 
-    def set_up(self, desk: Endpoint, _offer: Offer, wait_ns: int) -> None:
-        self.said.append(("set_up", desk.office, wait_ns))
+    def set_up(self, desk: Endpoint, _offer: SetUpParams, wait_ns: int) -> None:
+        self.said.append(("set_up", desk.endpoint_id, wait_ns))
 
-    def give_up(self, desk: Endpoint, _call: str) -> None:
-        self.said.append(("give_up", desk.office))
+    def cancel_set_up(self, desk: Endpoint, _call: str) -> None:
+        self.said.append(("give_up", desk.endpoint_id))
 
 
 class Bench:
     def __init__(self, **offer: Any) -> None:
-        self.core = Core(read_settings(settings()), 1, Deadlines(1))
+        self.core = Core(read_settings(settings()), 1, TimerQueue(1))
         self.module, self.out = Scripted(), Recorder()
-        self.core.module = self.module  # type: ignore[assignment]
-        self.core.backs["binary"] = self.out
-        self.core.fronts.append(self.out)
+        self.core.decision_module = self.module  # type: ignore[assignment]
+        self.core.backends["binary"] = self.out
+        self.core.frontends.append(self.out)
         self.lines = [EndpointEntry(f"d{n}", "a:1", "z", n, "in_service", 0) for n in range(1, 7)]
-        self.core.list_news("bus", True, self.lines)
+        self.core.update_endpoints("bus", True, self.lines)
         self.out.said.clear()
-        self.core.offer(self.out, 0, Offer(CALL, "check", "ab", 0xAB, 1, 1, 9_000 * MS, b"", **offer))
+        self.core.submit(self.out, 0, SetUpParams(CALL, "check", "ab", 0xAB, 1, 1, 9_000 * MS, b"", **offer))
 
     def act(self, *actions: interface.Action, at_ms: int = 0) -> list[tuple[Any, ...]]:
         """Run a turn in which the module answers with these; returns what the core said in it."""
         if at_ms:
-            self.core.deadlines.now = at_ms * MS
-            self.core.deadlines.run_due()
+            self.core.timers.now = at_ms * MS
+            self.core.timers.run_due()
         self.module.next = list(actions)
         self.core.events.append(interface.TimerExpired("turn"))
-        self.core.turn()
+        self.core.process_events()
         said, self.out.said = self.out.said, []
         return said
 
@@ -101,7 +101,7 @@
 def test_two_at_once_are_never_out() -> None:
     bench = Bench()
     assert [s[0] for s in bench.act(to(1), to(2))] == ["set_up"]
-    assert bench.ended() == [("not_sent", False)] and bench.core.defects == 1
+    assert bench.ended() == [("not_sent", False)] and bench.core.internal_errors == 1
 
 
 def test_a_fifth_attempt_is_kept_back() -> None:
@@ -109,7 +109,7 @@
     for office in range(1, 5):
         assert bench.act(to(office))
         bench.lose(office, "no_connection")
-    assert bench.act(to(5)) == [] and bench.core.defects == 1
+    assert bench.act(to(5)) == [] and bench.core.internal_errors == 1
 
 
 @pytest.mark.parametrize("outcome", ["connection_lost", "no_answer", "called_off"])
@@ -117,25 +117,25 @@
     bench = Bench()
     bench.act(to(1))
     bench.lose(1, outcome)
-    assert bench.act(to(2), at_ms=299) == [] and bench.core.defects == 1
+    assert bench.act(to(2), at_ms=299) == [] and bench.core.internal_errors == 1
     assert bench.act(to(2), at_ms=305)
 
 
 def test_the_release_pause_counts_from_the_end_of_a_long_turn() -> None:
     bench = Bench()
-    bench.core.deadlines = Deadlines(1, lambda: 90 * MS)  # what the clock says while the turn is under way
+    bench.core.timers = TimerQueue(1, lambda: 90 * MS)  # what the clock says while the turn is under way
     bench.act(to(1))
     bench.lose(1, "no_answer")
-    assert bench.act(to(2), at_ms=385) == [] and bench.core.defects == 1
+    assert bench.act(to(2), at_ms=385) == [] and bench.core.internal_errors == 1
     assert bench.act(to(2), at_ms=395)
 
 
 @pytest.mark.parametrize("state", ["terminating", "terminated"])
 def test_nothing_goes_to_a_draining_exchange_past_the_grace(state: str) -> None:
     bench = Bench()
-    bench.core.list_news("bus", False, [EndpointEntry("d1", "a:1", "z", 1, state, 0)])
+    bench.core.update_endpoints("bus", False, [EndpointEntry("d1", "a:1", "z", 1, state, 0)])
     bench.out.said.clear()
-    assert bench.act(to(1), at_ms=502) == [] and bench.core.defects == 1
+    assert bench.act(to(1), at_ms=502) == [] and bench.core.internal_errors == 1
     assert bench.act(to(2))
 
 
@@ -144,7 +144,7 @@
 )
 def test_no_set_up_goes_where_the_call_may_not(offer: dict[str, Any], office: int) -> None:
     bench = Bench(**offer)
-    assert bench.act(to(office)) == [] and bench.core.defects == 1
+    assert bench.act(to(office)) == [] and bench.core.internal_errors == 1
 
 
 def test_one_final_answer_whatever_the_module_says_twice() -> None:
@@ -156,8 +156,8 @@
     ]
     assert bench.core.unanswered == 0 and not bench.core.requests
     desk = bench.core.registry.endpoints[1]
-    bench.core.desk_answered(desk, CALL, b"late")  # released, not passed on
-    bench.core.desk_released(desk, CALL, Ended("server_error"), 16)
+    bench.core.endpoint_answered(desk, CALL, b"late")  # released, not passed on
+    bench.core.endpoint_released(desk, CALL, ReleaseOutcome("server_error"), 16)
     assert bench.act() == [("release", 16)]
 
 
@@ -181,7 +181,7 @@
 def test_a_fault_in_a_back_costs_no_other_call_its_action(monkeypatch: pytest.MonkeyPatch) -> None:
     bench = Bench()
     other = "00000000000000b2"
-    bench.core.offer(bench.out, 0, Offer(other, "check", "ab", 0xAB, 1, 1, 9_000 * MS, b""))
+    bench.core.submit(bench.out, 0, SetUpParams(other, "check", "ab", 0xAB, 1, 1, 9_000 * MS, b""))
 
     def fails(*_: Any) -> None:
         raise RuntimeError("a fault in the back")
@@ -189,7 +189,7 @@
     monkeypatch.setattr(bench.out, "set_up", fails)
     assert (
         bench.act(to(1), interface.RefuseCall(other, 0)) == [("answer", "refused")]
-        and bench.core.defects == 1
+        and bench.core.internal_errors == 1
     )
     bench.act(at_ms=9_001)
     assert ("answer", "failed") in bench.act(at_ms=9_012) and not bench.core.requests
@@ -199,7 +199,7 @@
     bench = Bench()
     desk = bench.core.registry.endpoints[1]
     for _ in range(2):
-        bench.core.desk_released(desk, "00000000000000ff", Ended("server_error"), 16)
+        bench.core.endpoint_released(desk, "00000000000000ff", ReleaseOutcome("server_error"), 16)
     assert bench.act() == [("unknown", "00000000000000ff")]
 
 
@@ -207,9 +207,11 @@
 def test_a_start_under_the_same_uid_cuts_what_was_sent_before_it(since_ms: int, cut: bool) -> None:
     bench = Bench()
     bench.act(to(1), at_ms=300)
-    bench.core.desk_answered(bench.core.registry.endpoints[1], CALL, b"")
-    bench.core.deadlines.now = 1_000 * MS
-    bench.core.list_news("bus", False, [EndpointEntry("d1", "a:1", "x", 1, "in_service", since_ms * MS)])
+    bench.core.endpoint_answered(bench.core.registry.endpoints[1], CALL, b"")
+    bench.core.timers.now = 1_000 * MS
+    bench.core.update_endpoints(
+        "bus", False, [EndpointEntry("d1", "a:1", "x", 1, "in_service", since_ms * MS)]
+    )
     assert bench.act().count(("release", 41)) == (2 if cut else 0)  # to the caller, and to the exchange
     assert len(bench.core.requests) == (0 if cut else 1)
 
@@ -217,15 +219,15 @@
 def test_a_set_up_that_a_fresh_start_answered_stands_on_though_it_was_sent_before() -> None:
     bench = Bench()
     bench.act(to(1), at_ms=300)
-    bench.core.deadlines.now = 600 * MS
-    bench.core.desk_answered(bench.core.registry.endpoints[1], CALL, b"")
-    bench.core.deadlines.now = 1_000 * MS
-    bench.core.list_news("bus", False, [EndpointEntry("d1", "a:1", "x", 1, "in_service", 400 * MS)])
+    bench.core.timers.now = 600 * MS
+    bench.core.endpoint_answered(bench.core.registry.endpoints[1], CALL, b"")
+    bench.core.timers.now = 1_000 * MS
+    bench.core.update_endpoints("bus", False, [EndpointEntry("d1", "a:1", "x", 1, "in_service", 400 * MS)])
     assert ("release", 41) not in bench.act()
     assert len(bench.core.requests) == 1
 
 
 def test_lines_for_a_back_that_is_not_there_are_passed_over() -> None:
     bench = Bench()
-    bench.core.list_news("bus", False, [EndpointEntry("x", "a:1", "z", 9, "in_service", 0, "m3ua")])
+    bench.core.update_endpoints("bus", False, [EndpointEntry("x", "a:1", "z", 9, "in_service", 0, "m3ua")])
     assert len(bench.core.registry.endpoints) == 6
--- a/tests/test_failure_detection.py
+++ b/tests/test_failure_detection.py
@@ -5,12 +5,12 @@
 from arrowrail.failure_detection.endpoint import (
     MS,
     REFUSED,
+    RELEASE_LIMIT_NS,
     RESTARTED,
     SILENCE_LIMIT_NS,
-    TELL_LIMIT_NS,
     UNREACHABLE,
+    CallLoss,
     EndpointMonitor,
-    Loss,
 )
 
 START = 1_000_000 * MS
@@ -21,24 +21,24 @@
 def interrupted() -> EndpointMonitor:
     """Heard at START, and then two connections did not come up."""
     monitor = EndpointMonitor(START - 60_000 * MS)
-    monitor.heard(START, OPENED)
+    monitor.data_received(START, OPENED)
     for after in (2100, 3300):
         monitor.check_failed(START + after * MS)
     return monitor
 
 
-def loss(monitor: EndpointMonitor, after_ms: int) -> Loss | None:
-    return monitor.loss(START + after_ms * MS)
+def loss(monitor: EndpointMonitor, after_ms: int) -> CallLoss | None:
+    return monitor.detect_loss(START + after_ms * MS)
 
 
 def test_a_silent_server_that_takes_no_connection_is_lost_before_the_limit_to_tell_callers() -> None:
     monitor = interrupted()
     assert loss(monitor, LIMIT - 1) is None
-    assert loss(monitor, LIMIT) == Loss(UNREACHABLE, START + 1)
+    assert loss(monitor, LIMIT) == CallLoss(UNREACHABLE, START + 1)
     assert loss(monitor, LIMIT + 1000) is None, "told once"
     monitor.check_failed(START + (LIMIT + 2000) * MS)
     assert loss(monitor, LIMIT + 9000) is None, "nor again while nothing comes"
-    assert SILENCE_LIMIT_NS < TELL_LIMIT_NS
+    assert SILENCE_LIMIT_NS < RELEASE_LIMIT_NS
 
 
 def test_one_connection_that_never_comes_up_is_no_interruption() -> None:
@@ -64,29 +64,29 @@
 def test_bytes_on_a_connection_of_before_keep_the_calls() -> None:
     monitor = interrupted()
     monitor.connected(START + 5000 * MS)
-    monitor.heard(START + 5100 * MS, OPENED)
+    monitor.data_received(START + 5100 * MS, OPENED)
     assert loss(monitor, LIMIT) is None
 
 
 def test_a_new_process_at_the_address_keeps_only_the_calls_set_up_on_it() -> None:
     monitor = interrupted()
     monitor.connected(START + 5000 * MS)
-    monitor.heard(START + 5100 * MS, START + 5000 * MS)
-    monitor.heard_of_call(START + 5200 * MS, START + 5100 * MS)
-    assert loss(monitor, LIMIT) == Loss(RESTARTED, START + 1)
+    monitor.data_received(START + 5100 * MS, START + 5000 * MS)
+    monitor.call_confirmed(START + 5200 * MS, START + 5100 * MS)
+    assert loss(monitor, LIMIT) == CallLoss(RESTARTED, START + 1)
 
 
 def test_a_set_up_that_waited_for_the_new_process_proves_nothing_of_the_old_one() -> None:
     monitor = interrupted()
     monitor.connected(START + 5000 * MS)
-    monitor.heard_of_call(START + 5200 * MS, START + 4000 * MS)  # queued while nothing was there
-    assert loss(monitor, LIMIT) == Loss(RESTARTED, START + 1)
+    monitor.call_confirmed(START + 5200 * MS, START + 4000 * MS)  # queued while nothing was there
+    assert loss(monitor, LIMIT) == CallLoss(RESTARTED, START + 1)
 
 
 def test_news_of_a_call_of_before_keeps_the_others() -> None:
     monitor = interrupted()
     monitor.connected(START + 5000 * MS)
-    monitor.heard_of_call(START + 5200 * MS, START - 100 * MS)
+    monitor.call_confirmed(START + 5200 * MS, START - 100 * MS)
     assert loss(monitor, LIMIT) is None
 
 
@@ -95,21 +95,21 @@
     monitor.connected(START + 4000 * MS)
     for after in (6200, 7000):
         monitor.check_failed(START + after * MS)
-    assert loss(monitor, LIMIT) == Loss(RESTARTED, START + 1)
+    assert loss(monitor, LIMIT) == CallLoss(RESTARTED, START + 1)
     monitor.check_failed(START + 8200 * MS)
     assert loss(monitor, 4000 + LIMIT - 1) is None
-    assert loss(monitor, 4000 + LIMIT) == Loss(UNREACHABLE, START + 4000 * MS + 1)
+    assert loss(monitor, 4000 + LIMIT) == CallLoss(UNREACHABLE, START + 4000 * MS + 1)
 
 
 def test_a_process_that_refuses_for_long_is_lost_and_one_that_only_holds_enough_is_not() -> None:
     monitor = EndpointMonitor(START)
     for after in (100, 1000, 2000):
-        monitor.refused(START + after * MS)
+        monitor.connection_refused(START + after * MS)
         assert loss(monitor, after) is None
-    assert loss(monitor, 2101) == Loss(REFUSED, 0)
+    assert loss(monitor, 2101) == CallLoss(REFUSED, 0)
     monitor = EndpointMonitor(START)
     for after in range(0, 9000, 1000):
-        monitor.full(START + after * MS)
+        monitor.connection_limit_reached(START + after * MS)
     assert loss(monitor, 9000) is None
 
 
@@ -122,12 +122,12 @@
 
 
 def test_a_server_known_to_greet_that_stays_mute_on_new_connections_is_lost() -> None:
-    for greetings, expected in ((3, Loss(UNREACHABLE, START + 1)), (2, None)):
+    for greetings, expected in ((3, CallLoss(UNREACHABLE, START + 1)), (2, None)):
         monitor = EndpointMonitor(START - 60_000 * MS)
         for n in range(greetings):
-            monitor.greeted(START - 9000 * MS + n, START - 9000 * MS)
-        monitor.heard(START, OPENED)
+            monitor.greeting_received(START - 9000 * MS + n, START - 9000 * MS)
+        monitor.data_received(START, OPENED)
         for after in (2000, 4000, 6000):
             monitor.connected(START + after * MS)
-            monitor.mute(START + (after + 1000) * MS)
+            monitor.greeting_missing(START + (after + 1000) * MS)
         assert loss(monitor, LIMIT) == expected
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -140,7 +140,7 @@
     assert safe == []  # nothing is safe before the loop has heard of it
     end = time.monotonic() + 10
     while len(safe) < 5 and time.monotonic() < end:
-        loop.turn()
+        loop.run_once()
     assert safe == [True] * 5 and read_promises(path) == {"d": Promise(4, "a", 0, 7)}
     keeper.close()
     path.write_bytes(b"spoilt")
@@ -152,7 +152,7 @@
     keeper = Keeper(loop, tmp_path / "no" / "folder")
     keeper.keep(b"x", safe.append)
     while not safe:
-        loop.turn()
+        loop.run_once()
     assert safe == [False] and keeper.failed
     keeper.close()
 
@@ -163,7 +163,7 @@
     assert stat.S_IMODE(os.stat(path).st_mode) == 0o600
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(path)
-        loop.turn()
+        loop.run_once()
         sock.settimeout(5)
         assert sock.recv(100) == b'{"group":"g"}\n'
     control.close()
@@ -188,8 +188,8 @@
         groups[-1].set_duties(["a", "b", "c", "d"])
     end = time.monotonic() + 30
     while {run.duty for _, run in runs if run.run >= 2} != set("abcd") and time.monotonic() < end:
-        loop.deadlines.at(loop.now + 20 * MS, lambda: None)
-        loop.turn()
+        loop.timers.schedule(loop.now + 20 * MS, lambda: None)
+        loop.run_once()
         for group in groups:
             group.background(False)
     epochs: dict[tuple[str, int], str] = {}
--- a/tests/test_live_etcd.py
+++ b/tests/test_live_etcd.py
@@ -68,13 +68,18 @@
         gateway.accept()
         assert gateway.answer_range(7, here) == 8
         peer, caller = desk.desk(), Caller(run.port)
-        run.until(lambda: 1 in run.core.module.trunk_groups and run.core.module.trunk_groups[1].size > 0)
+        run.until(
+            lambda: (
+                1 in run.core.decision_module.trunk_groups
+                and run.core.decision_module.trunk_groups[1].size > 0
+            )
+        )
         caller.invite(CALL)
         set_up(peer, CALL)
         tell(peer, binary.ANSWER, CALL)
         assert caller.answer(CALL).status == 200
         gateway.put(8, here | {"state": "terminating"})
-        run.until(lambda: not run.core.module.in_service)
+        run.until(lambda: not run.core.decision_module.in_service)
         caller.invite("00000000000000b2")  # a drain from here counts as one from the bus
         assert caller.answer("00000000000000b2").status == 503
         gateway.say({"header": {"revision": "9"}, "canceled": True, "compact_revision": "9"})
@@ -84,7 +89,7 @@
         gateway.sock.close()
         gateway.accept()
         assert gateway.answer_range(20, target("e2", desk.address, 1)) == 21
-        run.until(lambda: len(run.core.module.in_service) == 1)
+        run.until(lambda: len(run.core.decision_module.in_service) == 1)
         key = base64.b64encode((PREFIX + "e2").encode()).decode()
         gateway.say({"header": {"revision": "21"}, "events": [{"type": "DELETE", "kv": {"key": key}}]})
-        run.until(lambda: not run.core.module.in_service)
+        run.until(lambda: not run.core.decision_module.in_service)
--- a/tests/test_live_m3ua.py
+++ b/tests/test_live_m3ua.py
@@ -53,7 +53,7 @@
 
 
 def client(run: Running) -> M3uaPeer:
-    front: Any = next(f for f in run.core.fronts if type(f).__name__ == "M3uaFront")
+    front: Any = next(f for f in run.core.frontends if type(f).__name__ == "M3uaFront")
     sock = Caller(front.listener.port).sock
     return M3uaPeer(sock, CLIENT, OWN).up()
 
@@ -109,7 +109,12 @@
     port = Listening()
     with running(operator=configured(behind("m1", port, 1, DESK), deadline_ms=deadline_ms)) as run:
         peer = desk(port)
-        run.until(lambda: 1 in run.core.module.trunk_groups and run.core.module.trunk_groups[1].size == 10)
+        run.until(
+            lambda: (
+                1 in run.core.decision_module.trunk_groups
+                and run.core.decision_module.trunk_groups[1].size == 10
+            )
+        )
         yield run, client(run), peer
 
 
@@ -133,9 +138,9 @@
         caller.send(7, REL, cause=16)
         caller.isup(RLC, 7)
         assert peer.isup(REL, again.cic).cause == 16
-        assert run.core.module.trunk_groups[1].free == 9  # taken until it is confirmed
+        assert run.core.decision_module.trunk_groups[1].free == 9  # taken until it is confirmed
         peer.send(again.cic, RLC)
-        run.until(lambda: run.core.module.trunk_groups[1].free == 10)
+        run.until(lambda: run.core.decision_module.trunk_groups[1].free == 10)
 
 
 @pytest.mark.parametrize("over_sip", [False, True])
@@ -173,7 +178,7 @@
         assert peer.isup(REL, out.cic).cause == 16
         peer.send(out.cic, ANM)  # crossed: the circuit is being cleared already
         peer.send(out.cic, RLC)
-        run.until(lambda: not run.core.requests and run.core.module.trunk_groups[1].free == 10)
+        run.until(lambda: not run.core.requests and run.core.decision_module.trunk_groups[1].free == 10)
 
 
 @pytest.mark.parametrize(("called", "cause"), [("9", 1), ("2", 34)])
@@ -227,7 +232,7 @@
         peer.send(out.cic, ANM)
         caller.isup(ANM, 1)
         caller.reset()
-        front: Any = run.core.fronts[0]
+        front: Any = run.core.frontends[0]
         run.until(lambda: len(front.links) == 0)
         peer.send(out.cic, REL, cause=16)
         run.until(lambda: not run.core.requests)
@@ -239,7 +244,7 @@
     described = configured(behind("m1", m3ua_port, 2, DESK))
     with running(target("d1", sip_port.address, 1), operator=described) as run:
         binary_peer, m3ua_peer = sip_port.desk(), desk(m3ua_port)
-        run.until(lambda: len([g for g in run.core.module.trunk_groups.values() if g.size > 0]) == 2)
+        run.until(lambda: len([g for g in run.core.decision_module.trunk_groups.values() if g.size > 0]) == 2)
         caller, sip = client(run), Caller(run.port)
         caller.send(1, IAM, called="12", uui=b"o")
         sent = binary_peer.take(lambda m: m.kind == binary.SET_UP)
@@ -261,10 +266,15 @@
         bus.accept()
         bus.tell(news(2, line))
         peer, caller = desk(port), Placing(run, over_sip)
-        run.until(lambda: 1 in run.core.module.trunk_groups and run.core.module.trunk_groups[1].size == 10)
+        run.until(
+            lambda: (
+                1 in run.core.decision_module.trunk_groups
+                and run.core.decision_module.trunk_groups[1].size == 10
+            )
+        )
         caller.place(1)
         out = peer.isup(IAM)
-        back: Any = run.core.backs["m3ua"]
+        back: Any = run.core.backends["m3ua"]
         stream = back.trunks[1].link.stream
         beats = 0
         while run.look(lambda: stream.flushed):  # its echoes fill the way to the peer
@@ -301,7 +311,12 @@
         bus.accept()
         bus.tell(news(2, old_line))
         old, caller = desk(ports[0]), Placing(run, over_sip)
-        run.until(lambda: 1 in run.core.module.trunk_groups and run.core.module.trunk_groups[1].size == 10)
+        run.until(
+            lambda: (
+                1 in run.core.decision_module.trunk_groups
+                and run.core.decision_module.trunk_groups[1].size == 10
+            )
+        )
         for cic in (1, 2, 3):
             caller.place(cic)
         outs = [old.isup(IAM).cic for _ in range(3)]
@@ -309,7 +324,7 @@
         assert caller.answer()[1] == "stands"  # one stands, two are out
         bus.tell(news(3, old_line | {"state": "terminating"}, new_line))
         new = desk(ports[1], OTHER)
-        run.until(lambda: run.core.module.in_service[1].entry.endpoint_id == 2)
+        run.until(lambda: run.core.decision_module.in_service[1].entry.endpoint_id == 2)
         began = time.monotonic()
         old.reset()
         first, second = new.isup(IAM), new.isup(IAM)
@@ -334,7 +349,12 @@
     port = Listening()
     with running(operator=configured(behind("m1", port, 1, DESK))) as run:
         peer = desk(port)
-        run.until(lambda: 1 in run.core.module.trunk_groups and run.core.module.trunk_groups[1].size == 10)
+        run.until(
+            lambda: (
+                1 in run.core.decision_module.trunk_groups
+                and run.core.decision_module.trunk_groups[1].size == 10
+            )
+        )
         caller = client(run)
         caller.send(1, IAM, called="15")
         out = peer.isup(IAM)
@@ -350,7 +370,7 @@
         peer.send(again.cic, RLC)
         peer.send(peer.isup(IAM).cic, REL, cause=34)
         assert caller.isup(REL, 1).cause == 34
-        run.until(lambda: run.core.module.trunk_groups[1].free == 10)
+        run.until(lambda: run.core.decision_module.trunk_groups[1].free == 10)
 
 
 @pytest.mark.parametrize(
@@ -364,7 +384,7 @@
 )
 def test_errors_before_the_handshake(sent: bytes, code: Error) -> None:
     with running(operator=configured()) as run:
-        front: Any = run.core.fronts[0]
+        front: Any = run.core.frontends[0]
         peer = M3uaPeer(Caller(front.listener.port).sock, CLIENT, OWN)
         peer.sock.sendall(sent)
         assert peer.wants(Kind.ERR).number(Tag.ERROR_CODE) == code
@@ -419,14 +439,19 @@
     with running(operator=configured(first)) as run:
         desk = M3uaPeer(ports[0].accept(), DESK, OWN).let_up()
         caller = client(run)
-        run.until(lambda: run.core.module.trunk_groups[1].size > 0)
+        run.until(lambda: run.core.decision_module.trunk_groups[1].size > 0)
         caller.send(1, IAM, called="11")
         desk.send(desk.isup(IAM).cic, ANM)
         caller.isup(ANM, 1)
         program = run.program
         run.look(lambda: program.reload(program.config, configured(first, both)))
         other = M3uaPeer(ports[1].accept(), OTHER, OWN).let_up()
-        run.until(lambda: 2 in run.core.module.trunk_groups and run.core.module.trunk_groups[2].size > 0)
+        run.until(
+            lambda: (
+                2 in run.core.decision_module.trunk_groups
+                and run.core.decision_module.trunk_groups[2].size > 0
+            )
+        )
         caller.send(2, IAM, called="21")
         other.send(other.isup(IAM).cic, ANM)
         caller.isup(ANM, 2)
@@ -442,8 +467,13 @@
     port = Listening()
     with running(operator=configured(behind("m1", port, 1, DESK))) as run:
         peer, good = desk(port), client(run)
-        run.until(lambda: 1 in run.core.module.trunk_groups and run.core.module.trunk_groups[1].size > 0)
-        front: Any = next(f for f in run.core.fronts if type(f).__name__ == "M3uaFront")
+        run.until(
+            lambda: (
+                1 in run.core.decision_module.trunk_groups
+                and run.core.decision_module.trunk_groups[1].size > 0
+            )
+        )
+        front: Any = next(f for f in run.core.frontends if type(f).__name__ == "M3uaFront")
         silent = [Caller(front.listener.port) for _ in range(8)]
         silent[-1].sock.sendall(b"\1\0\3")
         assert all(s.closed() for s in silent)
@@ -460,7 +490,12 @@
     port = Listening()
     with running(operator=configured(behind("m1", port, 1, DESK))) as run:
         peer, good = desk(port), client(run)
-        run.until(lambda: 1 in run.core.module.trunk_groups and run.core.module.trunk_groups[1].size > 0)
+        run.until(
+            lambda: (
+                1 in run.core.decision_module.trunk_groups
+                and run.core.decision_module.trunk_groups[1].size > 0
+            )
+        )
         good.send(1, IAM, called="15")
         peer.send(peer.isup(IAM).cic, ANM)
         good.isup(ANM, 1)
--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -96,7 +96,7 @@
     with running(*(target(f"d{n}", a, n) for n, a in enumerate(addresses, 1))) as run:
         ports[0].desk(free=0)
         second = ports[1].desk()
-        run.until(lambda: len([g for g in run.core.module.trunk_groups.values() if g.size > 0]) >= 2)
+        run.until(lambda: len([g for g in run.core.decision_module.trunk_groups.values() if g.size > 0]) >= 2)
         yield run, second, Caller(run.port)
 
 
@@ -104,12 +104,12 @@
     port = Listening()
     with tandems(port) as (run, second, caller):
         peers = {2: second, 3: port.desk()}
-        run.until(lambda: run.core.module.trunk_groups[3].size > 0)
+        run.until(lambda: run.core.decision_module.trunk_groups[3].size > 0)
         caller.invite(A)
-        run.until(lambda: run.core.find(A) is not None and run.core.find(A).out is not None)  # type: ignore[union-attr]
+        run.until(lambda: run.core.find(A) is not None and run.core.find(A).current_attempt is not None)  # type: ignore[union-attr]
         request = run.core.find(A)
-        assert request is not None and request.out is not None
-        first = request.out.desk.office
+        assert request is not None and request.current_attempt is not None
+        first = request.current_attempt.endpoint.endpoint_id
         set_up(peers[first], A)
         began = time.monotonic()
         tell(peers[first], binary.RELEASE, A, cause=41)
@@ -234,7 +234,7 @@
         caller.answer(A)
         desk.sock.close()
         peer.reset()
-        back: Any = run.core.backs["binary"]
+        back: Any = run.core.backends["binary"]
         run.until(lambda: back.pools[1].connections[0].stream is None)
         caller.send("BYE", A)
         assert caller.answer(A, "BYE").status == 200
@@ -258,7 +258,7 @@
             if call == A:
                 release(peer, A)
                 tell(peer, binary.RELEASE_HEARD, A)
-        connection = run.core.backs["binary"].pools[1].connections[0]  # type: ignore[attr-defined]
+        connection = run.core.backends["binary"].pools[1].connections[0]  # type: ignore[attr-defined]
         run.until(lambda: set(connection.unheard) == {B})
         peer.reset()
         assert release(desk.desk(), B).call == int(B, 16)
@@ -277,7 +277,7 @@
             if request.attempts == 2:
                 break
         assert request is not None
-        assert (request.attempts, request.not_before, request.last[0]) == (2, 0, "no_connection")
+        assert (request.attempts, request.next_attempt_ns, request.last_outcome[0]) == (2, 0, "no_connection")
 
 
 def test_what_is_queued_behind_a_stalled_peer_is_taken_back_at_a_drain() -> None:
@@ -285,13 +285,15 @@
     with running(target("d1", desk.address, 1), bus=bus.port.address) as run:
         assert bus.accept() == 1
         peer, caller = desk.desk(free=1000), Caller(run.port)
-        run.until(lambda: run.core.module.trunk_groups[1].size > 0)
-        back: Any = run.core.backs["binary"]
+        run.until(lambda: run.core.decision_module.trunk_groups[1].size > 0)
+        back: Any = run.core.backends["binary"]
         calls, queued = [f"{n:016x}" for n in range(1, 40)], []
         for call in calls:  # the peer reads nothing: at some point a set-up stays with us whole
-            before = len(run.core.by_call) + len(run.core.ended)
+            before = len(run.core.request_handles) + len(run.core.ended_calls)
             caller.invite(call, body=b"x" * 15000)
-            run.until(lambda before=before: len(run.core.by_call) + len(run.core.ended) > before)  # type: ignore[misc]
+            run.until(
+                lambda before=before: len(run.core.request_handles) + len(run.core.ended_calls) > before
+            )  # type: ignore[misc]
             queued = run.look(lambda: [c for c in calls if back.pools[1].connections[0].stream.unsent(c)])
             if len(queued) >= 2:
                 break
@@ -312,8 +314,8 @@
     desk = Listening()
     with running(target("d1", desk.address, 1)) as run:
         caller = Caller(run.port)
-        run.until(lambda: len(run.core.module.in_service) == 1)
-        back: Any = run.core.backs["binary"]
+        run.until(lambda: len(run.core.decision_module.in_service) == 1)
+        back: Any = run.core.backends["binary"]
         link = back.pools[1].connections[0]
         run.until(lambda: link.stream is not None and not link.stream.connecting)
         link.stream.connecting = True  # as if the connection were still coming up
@@ -360,7 +362,7 @@
         tell(peer, binary.ANSWER, A)
         assert caller.answer(A).status == 200
         bus.tell(news(2, target("d1", desk.address, 1, "terminating")))
-        run.until(lambda: run.core.registry.endpoints[1].told.state == "terminating")
+        run.until(lambda: run.core.registry.endpoints[1].entry.state == "terminating")
         caller.invite(B)
         assert caller.answer(B).status == 503  # nothing new goes to it
         tell(peer, binary.RELEASE, A, cause=16)
@@ -388,14 +390,14 @@
     with running(target("d1", desk.address, 1), bus=bus.port.address) as run:
         assert bus.accept() == 1
         bus.tell(news(2, target("d1", desk.address, 1, "terminating")))
-        run.until(lambda: run.core.registry.endpoints[1].told.state == "terminating")
+        run.until(lambda: run.core.registry.endpoints[1].entry.state == "terminating")
         bus.cut()
         assert bus.accept() == 2
         bus.tell(news(2, target("d1", desk.address, 1)))  # held already
         bus.tell(news(5, target("d9", "127.0.0.1:1", 9)))  # a gap: asked for again, once
         assert bus.accept() == 2
         bus.tell(news(5, target("d1", desk.address, 1)))
-        run.until(lambda: run.core.registry.endpoints[1].told.state == "in_service")
+        run.until(lambda: run.core.registry.endpoints[1].entry.state == "in_service")
         assert list(run.core.registry.endpoints) == [1]
 
 
@@ -420,7 +422,7 @@
         run.until(lambda: run.core.find(A) is not None)
         request = run.core.find(A)
         assert caller.answer(A).status == 503
-        assert request is not None and request.last[0] == "no_connection"
+        assert request is not None and request.last_outcome[0] == "no_connection"
 
 
 @pytest.mark.parametrize(
@@ -530,7 +532,7 @@
         caller.sock.sendall(body)
         caller.sock.shutdown(socket.SHUT_WR)
         assert caller.sock.recv(100) == b""  # an end in good order, no reset
-        run.until(lambda: not run.program.loop.leaving)
+        run.until(lambda: not run.program.loop.closing_streams)
 
 
 def test_an_unreadable_desk_message_drops_that_connection_only() -> None:
@@ -557,7 +559,7 @@
     desk = Listening()
     with running(target("d1", desk.address, 1), per_desk=2) as run:
         peers, caller = [desk.desk(), desk.desk()], Caller(run.port)
-        run.until(lambda: run.core.module.trunk_groups[1].size > 0)
+        run.until(lambda: run.core.decision_module.trunk_groups[1].size > 0)
         caller.invite(A)
         caller.invite(B)
         found = {m.call: peer for peer in peers for m in [peer.take(lambda m: m.kind == binary.SET_UP)]}
@@ -574,7 +576,7 @@
         set_up(fresh, A)  # the processor is not blamed: the same route again, after the pause
         tell(fresh, binary.ANSWER, A, description=ANSWER)
         assert caller.answer(A).body == ANSWER
-        assert run.core.module.endpoints[1].failures.total == 0.0
+        assert run.core.decision_module.endpoints[1].failures.total == 0.0
 
 
 def test_a_flood_of_connections_closes_the_idle_and_keeps_the_busy() -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -18,7 +18,7 @@
 import pytest
 
 from arrowrail.config.checker import check_folder
-from arrowrail.core.requests import NO_ROUTE, OVER_LIMIT, REFUSED, Offer
+from arrowrail.core.requests import NO_ROUTE, OVER_LIMIT, REFUSED, SetUpParams
 from arrowrail.lab.processes import free_ports
 from arrowrail.loop import Loop
 from arrowrail.run.reader import at_rest, controller, sidecar
@@ -134,35 +134,39 @@
 # ---------------------------------------------------------------------------------------------
 
 
-def offer(call: str = "c", kind: str = "alarm", number: str = "0921", **more: Any) -> Offer:
-    return Offer(call, kind, number, 1, -1, 1, T0 + 60 * S, b"x", **more)
+def offer(call: str = "c", kind: str = "alarm", number: str = "0921", **more: Any) -> SetUpParams:
+    return SetUpParams(call, kind, number, 1, -1, 1, T0 + 60 * S, b"x", **more)
 
 
 def test_the_door_places_calls_and_turns_away_what_has_no_way_or_no_room(tmp_path: Path) -> None:
     c = compiled(tmp_path)
     admission = RecordsAdmission(replace(c, limits=replace(c.limits, max_open=3)), T0)
     admission.route_table.update_states([(n, IN_SERVICE) for n in (1, 2, 3, 4)])
-    placed, refusal = admission.enter(T0, 1, offer())
+    placed, refusal = admission.admit(T0, 1, offer())
     assert refusal is None
     assert (placed.route, placed.destination, placed.width) == ("alarm@fukuoka", 1, 2)
     assert placed.deadline_ns == T0 + 3 * S  # the class's own give-up time bounds the caller's patience
-    assert admission.enter(T0, 1, offer(number="077"))[1] == replace(
-        admission.enter(T0, 1, offer(kind="x"))[1]
+    assert admission.admit(T0, 1, offer(number="077"))[1] == replace(
+        admission.admit(T0, 1, offer(kind="x"))[1]
     )  # type: ignore[type-var]
-    answers = [admission.enter(T0, 1, offer(str(n)))[1] for n in range(5)]
+    answers = [admission.admit(T0, 1, offer(str(n)))[1] for n in range(5)]
     assert [a.outcome for a in answers if a] == [OVER_LIMIT] * 4
-    assert all(a.kind == REFUSED and a.stay_away_ns > 0 for a in answers if a)
-    no_way = admission.enter(T0, 1, offer(number="077"))[1]
-    assert no_way is not None and no_way.outcome == NO_ROUTE and admission.time_out_ns(placed) == 1300 * MS
-    admission.settled(T0 + S, 1, placed, S)
-    assert admission.enter(T0 + S, 1, offer("again"))[1] is None
+    assert all(a.result == REFUSED and a.retry_after_ns > 0 for a in answers if a)
+    no_way = admission.admit(T0, 1, offer(number="077"))[1]
+    assert (
+        no_way is not None
+        and no_way.outcome == NO_ROUTE
+        and admission.attempt_timeout_ns(placed) == 1300 * MS
+    )
+    admission.set_up_finished(T0 + S, 1, placed, S)
+    assert admission.admit(T0 + S, 1, offer("again"))[1] is None
 
 
 def test_an_answer_to_a_call_of_our_own_outweighs_others_probes(tmp_path: Path) -> None:
     admission = RecordsAdmission(compiled(tmp_path), T0)
     admission.route_table.update_states([(n, IN_SERVICE) for n in (1, 2, 3, 4)])
     told = EndpointEntry("f-1@127.0.0.1:6101", "127.0.0.1:6101", "z", 1, IN_SERVICE, 0)
-    admission.attempt_over(T0, Endpoint(1, "site", told), "served", 0)
+    admission.attempt_ended(T0, Endpoint(1, "site", told), "served", 0)
     assert admission.doubted(T0 + S, [1]) == []
     news = admission.doubted(T0 + 6 * S, [1])
     assert {n.exchanges for n in news} == {(2,)} and len(news) == 2
@@ -206,7 +210,7 @@
     reading.ask("sidecar", tmp_path, "lifts", {})
     end = time.monotonic() + 30
     while not found and time.monotonic() < end:
-        loop.turn()
+        loop.run_once()
     assert len(found) == 1 and found[0].value is not None and not reading.busy
 
 
@@ -242,7 +246,7 @@
         end = time.monotonic() + 10
         while not until():
             assert time.monotonic() < end, f"never came: {what}"
-            self.sidecar.program.loop.deadlines.at(self.sidecar.program.loop.now + MS, lambda: None)
+            self.sidecar.program.loop.timers.schedule(self.sidecar.program.loop.now + MS, lambda: None)
             self.sidecar.program.turn()
 
 
@@ -259,7 +263,7 @@
     def _run(self) -> None:
         program = self.beside.sidecar.program
         while not self.end:
-            program.loop.deadlines.at(program.loop.now + 2 * MS, lambda: None)
+            program.loop.timers.schedule(program.loop.now + 2 * MS, lambda: None)
             program.turn()
 
 
@@ -273,7 +277,7 @@
     finally:
         turning.end = True
         turning.thread.join(10)
-        assert b.sidecar.core.defects == 0
+        assert b.sidecar.core.internal_errors == 0
 
 
 def invite(caller: Caller, call: str, number: str = "0921", kind: str = "alarm", *more: str) -> None:
@@ -340,7 +344,7 @@
         set_up(links["f-1"], "a" * 16)
         moved = b.compile(inventory=[("[exchange.f-1, exchange.f-2]", "[exchange.f-2]"),
                                      ("[exchange.k-1,", "[exchange.f-1, exchange.k-1,")])  # fmt: skip
-        b.sidecar.program.loop.deadlines.at(0, lambda: b.sidecar.take_up(moved))
+        b.sidecar.program.loop.timers.schedule(0, lambda: b.sidecar.take_up(moved))
         wait_until(lambda: b.sidecar.compiled is moved)
         # What was out ends under what it began with; what comes goes to the pool as it is now.
         for n in range(4):
@@ -359,7 +363,7 @@
         tell(links["f-1"], binary.ANSWER, "a" * 16)
         assert caller.answer("a" * 16).status == 200
         without = b.compile(inventory=[("[exchange.f-1, exchange.f-2]", "[exchange.f-2]")])
-        b.sidecar.program.loop.deadlines.at(0, lambda: b.sidecar.take_up(without))
+        b.sidecar.program.loop.timers.schedule(0, lambda: b.sidecar.take_up(without))
         wait_until(lambda: b.sidecar.compiled is without)
         for n in range(3):
             stands(caller, links["f-2"], f"{n:016x}")
@@ -374,7 +378,7 @@
     with beside(tmp_path) as (b, caller):
         links = {name: b.exchanges[name].desk() for name in b.exchanges}
         news = [EndpointEntry(n, "", "z", 0, TERMINATING, 0) for n in ("f-1", "f-2")]
-        b.sidecar.program.loop.deadlines.at(0, lambda: b.sidecar.core.list_news("bus", False, news))
+        b.sidecar.program.loop.timers.schedule(0, lambda: b.sidecar.core.update_endpoints("bus", False, news))
         wait_until(lambda: b.sidecar.admission.route_table.availability("alarm@fukuoka").pools == ("k",))
         invite(caller, "a" * 16)
         set_up(links["k-1"], "a" * 16)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,10 +9,10 @@
 import orjson
 import pytest
 
-from arrowrail.core.requests import FAILED, REFUSED, Answer, Offer
-from arrowrail.state.deadlines import Deadlines
+from arrowrail.core.requests import FAILED, REFUSED, FinalResponse, SetUpParams
 from arrowrail.state.endpoints import EndpointEntry, EndpointRegistry
 from arrowrail.state.slots import SlotTable
+from arrowrail.state.timers import TimerQueue
 from arrowrail.wire.bus import messages as bus
 from arrowrail.wire.desk import binary
 from arrowrail.wire.desk.binary import BinaryError, DeskMessage
@@ -76,10 +76,12 @@
 @pytest.mark.parametrize(
     ("changes", "uri", "expected"),
     [
-        ({}, "sip:7f@net", Offer("9b1f03aa5c7e2d41", "voice", "7f", 0x7F, 2, 3, 1_500_000_001, b"x")),
+        ({}, "sip:7f@net", SetUpParams("9b1f03aa5c7e2d41", "voice", "7f", 0x7F, 2, 3, 1_500_000_001, b"x")),
         (
             {"x-facts": "dest:1;via:4;transit:1;again:1", "x-retry": "1"}, "sip:0a@net",
-            Offer("9b1f03aa5c7e2d41", "voice", "0a", 10, 1, 1, 1_500_000_001, b"x", True, True, True, 4),
+            SetUpParams(
+                "9b1f03aa5c7e2d41", "voice", "0a", 10, 1, 1, 1_500_000_001, b"x", True, True, True, 4
+            ),
         ),
         ({"x-facts": "width:1"}, "sip:7f@net", None),
         ({"x-facts": "dest:x"}, "sip:7f@net", None),
@@ -89,7 +91,7 @@
         ({}, "sip:nobody@net", None),
     ],
 )  # fmt: skip
-def test_invite_fields(changes: dict[str, Any], uri: str, expected: Offer | None) -> None:
+def test_invite_fields(changes: dict[str, Any], uri: str, expected: SetUpParams | None) -> None:
     headers = {k: v for k, v in (INVITE | changes).items() if v is not None}
     message = sip.SipMessage("INVITE", uri, headers=headers, body=b"x")
     if expected is not None:
@@ -148,7 +150,7 @@
 )
 def test_binary_releases(cause: int, note: str, wait: int, outcome: str, number: int, stood: str) -> None:
     ended = read_release(DeskMessage(binary.RELEASE, 1, cause=cause, note=note, told_wait_ms=wait))
-    assert (ended.outcome, ended.cause, ended.stood) == (outcome, number, stood)
+    assert (ended.before_answer, ended.cause, ended.after_answer) == (outcome, number, stood)
 
 
 EVENT = (
@@ -260,18 +262,18 @@
 @pytest.mark.parametrize(
     ("answer", "cause"),
     [
-        (Answer(REFUSED), 34),
-        (Answer(REFUSED, outcome="turned_away", cause=1), 34),
-        (Answer(REFUSED, outcome="turned_away", cause=3 + 16 * 700), 42),
-        (Answer(REFUSED, outcome="turned_away", cause=18), 42),
-        (Answer(REFUSED, outcome="server_error", cause=4), 17),
-        (Answer(REFUSED, outcome="no_connection"), 27),
-        (Answer(REFUSED, outcome="connection_lost"), 38),
-        (Answer(FAILED, outcome="no_answer"), 102),
-        (Answer(FAILED, outcome="turned_away", cause=1), 41),
+        (FinalResponse(REFUSED), 34),
+        (FinalResponse(REFUSED, outcome="turned_away", cause=1), 34),
+        (FinalResponse(REFUSED, outcome="turned_away", cause=3 + 16 * 700), 42),
+        (FinalResponse(REFUSED, outcome="turned_away", cause=18), 42),
+        (FinalResponse(REFUSED, outcome="server_error", cause=4), 17),
+        (FinalResponse(REFUSED, outcome="no_connection"), 27),
+        (FinalResponse(REFUSED, outcome="connection_lost"), 38),
+        (FinalResponse(FAILED, outcome="no_answer"), 102),
+        (FinalResponse(FAILED, outcome="turned_away", cause=1), 41),
     ],
 )
-def test_causes_of_answers(answer: Answer, cause: int) -> None:
+def test_causes_of_answers(answer: FinalResponse, cause: int) -> None:
     assert causes.cause_of(answer) == cause
 
 
@@ -293,7 +295,7 @@
 )
 def test_causes_from_desk_exchanges(cause: int, outcome: str, number: int, stood: str) -> None:
     ended = causes.ended_by(cause)
-    assert (ended.outcome, ended.cause, ended.stood) == (outcome, number, stood)
+    assert (ended.before_answer, ended.cause, ended.after_answer) == (outcome, number, stood)
 
 
 def kv(key: str, value: Any) -> dict[str, str]:
@@ -347,30 +349,35 @@
 
 
 def test_deadlines_run_in_order_and_cancelled_ones_do_not() -> None:
-    deadlines, ran = Deadlines(), list[int]()
+    deadlines, ran = TimerQueue(), list[int]()
     for when in (30, 10, 20, 10):
-        deadlines.at(when, lambda when=when: ran.append(when))  # type: ignore[misc]
-    deadlines.at(15, lambda: ran.append(15)).cancel()
+        deadlines.schedule(when, lambda when=when: ran.append(when))  # type: ignore[misc]
+    deadlines.schedule(15, lambda: ran.append(15)).cancel()
 
     def again() -> None:
-        deadlines.at(5, lambda: ran.append(5))
+        deadlines.schedule(5, lambda: ran.append(5))
 
     def fails() -> None:
         raise RuntimeError("a fault that must not keep the others from running")
 
-    deadlines.at(5, fails)
-    deadlines.at(10, again)  # set while others run: for the next turn, however early it is
+    deadlines.schedule(5, fails)
+    deadlines.schedule(10, again)  # set while others run: for the next turn, however early it is
     deadlines.now = 20
     deadlines.run_due()
-    assert (ran, deadlines.next_at()) == ([10, 10, 20], 5)
+    assert (ran, deadlines.next_due_ns()) == ([10, 10, 20], 5)
 
 
 def test_the_registry_tells_changes_only_and_each_source_its_own() -> None:
     registry = EndpointRegistry()
     other = EndpointEntry("v", "a:2", "", 3, "in_service", 0)
-    assert [d.office for d in registry.apply(1, "bus", True, [TOLD])] == [1]
+    assert [d.endpoint_id for d in registry.apply(1, "bus", True, [TOLD])] == [1]
     assert registry.apply(2, "bus", False, [TOLD]) == []
-    assert [d.office for d in registry.apply(3, "etcd", True, [other])] == [2]
+    assert [d.endpoint_id for d in registry.apply(3, "etcd", True, [other])] == [2]
     (gone,) = registry.apply(4, "bus", True, [])
-    assert (gone.office, gone.told.state, gone.told.exchange, gone.drain_told_ns) == (1, "terminated", 2, 4)
+    assert (gone.endpoint_id, gone.entry.state, gone.entry.exchange, gone.drain_notified_ns) == (
+        1,
+        "terminated",
+        2,
+        4,
+    )
     assert registry.apply(5, "bus", False, [EndpointEntry("never", "", "", -1, "terminated", 0)]) == []
