--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -292,8 +292,10 @@
             before = len(run.core.request_handles) + len(run.core.ended_calls)
             caller.invite(call, body=b"x" * 15000)
             run.until(
-                lambda before=before: len(run.core.request_handles) + len(run.core.ended_calls) > before
-            )  # type: ignore[misc]
+                lambda before=before: (  # type: ignore[misc]
+                    len(run.core.request_handles) + len(run.core.ended_calls) > before
+                )
+            )
             queued = run.look(lambda: [c for c in calls if back.pools[1].connections[0].stream.unsent(c)])
             if len(queued) >= 2:
                 break
