--- a/arrowrail/core/engine.py
+++ b/arrowrail/core/engine.py
@@ -130,7 +130,7 @@
         request = self.find(call)
         if request is None or request.established:
             return False
-        self.events.append(interface.CallerGone(call))
+        self.events.append(interface.CallAbandoned(call))
         self.metrics.count("request.caller_gone")
         call_event("request.caller_gone", call, "its caller no longer waits")
         attempt = request.current_attempt
@@ -323,7 +323,7 @@
         open_ = [request for request in self.requests if not request.established]
         for request in open_:
             call = request.params.call_id
-            self.events.append(interface.CallerGone(call))
+            self.events.append(interface.CallAbandoned(call))
             self._fail_request(call, FAILED if request.attempts else REFUSED, 0)
         if open_:
             event("shutdown.cut_off", "{requests} requests are answered before the kill: {ids}",
@@ -439,7 +439,7 @@
             return
         self.internal_errors += 1
         logger.error("call {} was still unanswered past its deadline", request.params.call_id)
-        self.events.append(interface.CallerGone(request.params.call_id))
+        self.events.append(interface.CallAbandoned(request.params.call_id))
         self._fail_request(request.params.call_id, FAILED, 0)
 
     def _attempt_timed_out(self, handle: int, attempt: Attempt) -> None:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -271,7 +271,7 @@
     controller = new_controller()
     unknown: list[interface.Event] = [
         ended("nobody", 101, "served"), ended("nobody", 999, "no_answer"), established("nobody", 999),
-        interface.CallerGone("nobody"), interface.TimerExpired("nobody"), group(999, 3),
+        interface.CallAbandoned("nobody"), interface.TimerExpired("nobody"), group(999, 3),
         interface.PeerMessage(2, b"?"),
     ]  # fmt: skip
     assert controller.step(T0, unknown) == []
@@ -457,7 +457,7 @@
         controller.step(now, [call(f"c{k}", now=now)])
         for tick in range(1, 4):
             controller.step(now + tick * 90 * MS, [])
-        controller.step(now + 300 * MS, [interface.CallerGone(f"c{k}")])
+        controller.step(now + 300 * MS, [interface.CallAbandoned(f"c{k}")])
     now += SECOND
     assert sent(controller.step(now, [call("x", now=now)])) == [("x", 101)]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -45,11 +45,11 @@
 def test_nothing_is_sent_once_the_caller_is_gone() -> None:
     controller = new_controller()
     controller.step(T0, [call("a")])
-    assert controller.step(T0 + SECOND, [interface.CallerGone("a")]) == []
+    assert controller.step(T0 + SECOND, [interface.CallAbandoned("a")]) == []
     assert controller.step(T0 + SECOND, [ended("a", 101, "turned_away", cause=3)]) == []
     queued = new_controller(free=0)
     queued.step(T0, [call("b", call_class=URGENT)])
-    queued.step(T0 + MS, [interface.CallerGone("b")])
+    queued.step(T0 + MS, [interface.CallAbandoned("b")])
     assert queued.step(T0 + 2 * MS, [group(101, 5)]) == []
 
 
@@ -179,7 +179,7 @@
             now = T0 + tick * 100 * MS
             flood = [call(f"{tick}.{k}", call_class=URGENT, now=now) for k in range(3)]
             sends += [now for _, endpoint_id in sent(controller.step(now, flood)) if endpoint_id == 101]
-            controller.step(now, [interface.CallerGone(f"{tick}.{k}") for k in range(3)])
+            controller.step(now, [interface.CallAbandoned(f"{tick}.{k}") for k in range(3)])
     planned = (
         3 * 20 / 2 / (URGENT.holding_ns / SECOND)
     )  # calls per second that the own circuits are built for
@@ -191,5 +191,5 @@
 
 def test_call_offered_and_abandoned_in_one_batch_sends_nothing() -> None:
     controller = new_controller()
-    assert controller.step(T0 + 2 * SECOND, [call("a"), interface.CallerGone("a")]) == []
+    assert controller.step(T0 + 2 * SECOND, [call("a"), interface.CallAbandoned("a")]) == []
     assert controller.calls == {}
--- a/trackhatch/controller.py
+++ b/trackhatch/controller.py
@@ -302,8 +302,8 @@
 
     __slots__ = (
         "attempts", "call_class", "established", "executed_endpoint", "executed_ns", "first_try_ns",
-        "not_before", "offer", "pending_endpoint", "queued_endpoint", "queued_until", "target_ns", "tried",
-        "worth",
+        "next_attempt_ns", "offer", "pending_endpoint", "queued_endpoint", "queued_until", "target_ns",
+        "tried", "worth",
     )  # fmt: skip
 
     def __init__(
@@ -318,7 +318,7 @@
         self.pending_endpoint = -1  # endpoint of the attempt under way
         self.tried: list[int] = []
         self.executed_endpoint, self.executed_ns = -1, 0  # first attempt that may have set the call up
-        self.not_before = 0
+        self.next_attempt_ns = 0
         self.queued_endpoint, self.queued_until = -1, 0  # endpoint whose circuit the call waits for
         self.established = False
         self.worth = call_class.worth
@@ -344,7 +344,7 @@
             interface.AttemptEnded: self.attempt_ended,
             interface.CallEstablished: self.call_established,
             interface.TimerExpired: self.timer_expired,
-            interface.CallerGone: self.caller_gone,
+            interface.CallAbandoned: self.call_abandoned,
             interface.ExchangeListUpdate: self.list_updated,
             interface.PeerMessage: self.peer_message_received,
             interface.PoolUpdate: self.pool_updated,
@@ -386,7 +386,7 @@
             if isinstance(event, interface.CallOffered):
                 offers[event.call_id] = event
                 continue
-            if isinstance(event, interface.CallerGone):
+            if isinstance(event, interface.CallAbandoned):
                 offers.pop(event.call_id, None)
             self.handlers[type(event)](event)
         for offer in sorted(offers.values(), key=lambda o: -self.class_of(o).worth / o.width):
@@ -600,7 +600,7 @@
 
     def decide(self, call: Call, may_wait: bool = True) -> None:
         """Send the call on the best route, or queue it for a circuit, or reject it."""
-        if self.now < call.not_before:
+        if self.now < call.next_attempt_ns:
             return
         best_score, best = 0.0, None
         if call.attempts < self.settings.max_attempts and self.now < call.offer.deadline_ns:
@@ -767,8 +767,8 @@
         elif (event.outcome, event.cause) in (("server_error", CAUSE_USER_BUSY), ("not_sent", 3)):
             self.reject(call)  # the called lines are busy, or the own processor is down: so on every route
         elif event.outcome in RELEASE_AWAITED_OUTCOMES and self.settings.release_ns:
-            call.not_before = self.now + self.settings.release_ns
-            if call.not_before >= call.offer.deadline_ns:
+            call.next_attempt_ns = self.now + self.settings.release_ns
+            if call.next_attempt_ns >= call.offer.deadline_ns:
                 self.reject(call)
             else:
                 self.actions.append(interface.SetTimer(self.settings.release_ns, call.offer.call_id))
@@ -801,7 +801,7 @@
                 del self.busy_numbers[next(iter(self.busy_numbers))]
             self.busy_numbers.setdefault(call.offer.number, DecayingAverage()).add(self.now, 1.0)
 
-    def caller_gone(self, event: interface.CallerGone) -> None:
+    def call_abandoned(self, event: interface.CallAbandoned) -> None:
         call = self.calls.get(event.call_id)
         if call is None:
             return
@@ -824,7 +824,7 @@
             call is not None
             and call.pending_endpoint < 0
             and not call.established
-            and self.now >= call.not_before
+            and self.now >= call.next_attempt_ns
         ):
             self.dequeue(call)
             self.decide(call, may_wait=False)
--- a/trackhatch/interface.py
+++ b/trackhatch/interface.py
@@ -194,7 +194,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallAbandoned:
     """The caller no longer waits for an answer."""
 
     call_id: str
@@ -227,7 +227,7 @@
     | CallEstablished
     | AttemptEnded
     | TrunkGroupReport
-    | CallerGone
+    | CallAbandoned
     | TimerExpired
     | PeerMessage
     | PoolUpdate
--- a/trackhatch/simhost.py
+++ b/trackhatch/simhost.py
@@ -125,7 +125,7 @@
     "status-back": lambda fields: interface.TrunkGroupReport(
         fields["office"], fields.get("code", ""), fields.get("lag-ns", 0), _read_report(fields.get("usage"))
     ),
-    "dropped": lambda fields: interface.CallerGone(fields["rid"]),
+    "dropped": lambda fields: interface.CallAbandoned(fields["rid"]),
     "elapsed": lambda fields: interface.TimerExpired(fields.get("ctx", "")),
     "message": lambda fields: interface.PeerMessage(
         fields.get("by", -1), base64.b64decode(fields.get("msg", ""))
