--- a/arrowrail/lab/application.py
+++ b/arrowrail/lab/application.py
@@ -56,7 +56,7 @@
     def received(self, data: bytes) -> None:
         for m in self.parser.feed(data):
             if isinstance(m, sip.Malformed):
-                self.app.ledger.say("unreadable", line=self.name, why=m.why)
+                self.app.ledger.say("unreadable", line=self.name, why=m.reason)
             elif m.status and m.cseq_method == "INVITE" and m.status >= 200:
                 self.app.answered(self, m)
             elif m.method == "BYE":
--- a/arrowrail/lab/exchange.py
+++ b/arrowrail/lab/exchange.py
@@ -21,8 +21,8 @@
 from arrowrail.lab.ledger import Ledger
 from arrowrail.loop import Loop
 from arrowrail.state.timers import Timer
-from arrowrail.wire.desk import binary
-from arrowrail.wire.desk.binary import DeskMessage
+from arrowrail.wire.binary import messages as binary
+from arrowrail.wire.binary.messages import BinaryMessage
 from arrowrail.wire.listener import Listener
 from arrowrail.wire.stream import Stream
 
@@ -60,9 +60,11 @@
 
     def tell_group(self) -> None:
         e = self.exchange
-        self.say(DeskMessage(binary.GROUP, 0, free=max(0, e.circuits - len(e.calls)), size=e.circuits))
+        self.say(
+            BinaryMessage(binary.GROUP_STATE, 0, free=max(0, e.circuits - len(e.calls)), size=e.circuits)
+        )
 
-    def say(self, message: DeskMessage) -> None:
+    def say(self, message: BinaryMessage) -> None:
         self.stream.send(binary.encode(message))
 
     def received(self, data: bytes) -> None:
@@ -96,7 +98,7 @@
         self.started = loop.now
         self._told_at = 0
         self.fences: dict[str, int] = {}  # by duty: the highest epoch that was seen
-        self.told_late: list[tuple[int, str, DeskMessage]] = []  # when, to whom
+        self.told_late: list[tuple[int, str, BinaryMessage]] = []  # when, to whom
         self.listener = Listener(loop, address, lambda s: Peer(self, s), lambda: True, lambda: False)
         for fault in faults:
             if fault.what == "cut":
@@ -121,19 +123,19 @@
         for peer in list(self.peers):
             peer.stream.fail(None)
 
-    def message(self, peer: Peer, m: DeskMessage) -> None:
+    def message(self, peer: Peer, m: BinaryMessage) -> None:
         if m.kind == binary.SET_UP:
             self._set_up(peer, m)
         elif m.kind == binary.RELEASE:
-            held = self.calls.get(m.call)
-            self.ledger.say("released", call=f"{m.call:016x}", stood=held is not None and held.stands,
+            held = self.calls.get(m.call_id)
+            self.ledger.say("released", call=f"{m.call_id:016x}", stood=held is not None and held.stands,
                             known=held is not None)  # fmt: skip
-            self._free(m.call)
-            peer.say(DeskMessage(binary.RELEASE_HEARD, m.call))
-        elif m.kind == binary.TEST:
+            self._free(m.call_id)
+            peer.say(BinaryMessage(binary.RELEASE_ACK, m.call_id))
+        elif m.kind == binary.PROBE:
             self._test(peer, m)
 
-    def _test(self, peer: Peer, m: DeskMessage) -> None:
+    def _test(self, peer: Peer, m: BinaryMessage) -> None:
         """A probe under a fence ``DUTY EPOCH RUN HOLDER``: an older epoch than was seen is refused."""
         duty, epoch, run, holder = [*m.number.split(" "), "0", "0", ""][:4]
         newest = self.fences.get(duty, 0)
@@ -141,25 +143,27 @@
         self.fences[duty] = max(newest, int(epoch))
         self.ledger.say("probe", duty=duty, epoch=int(epoch), run=int(run), by=holder, fresh=fresh)
         if not self._under("silent"):
-            peer.say(DeskMessage(binary.TESTED, m.call, cause=int(fresh)))
+            peer.say(BinaryMessage(binary.PROBE_RESULT, m.call_id, cause=int(fresh)))
 
-    def _set_up(self, peer: Peer, m: DeskMessage) -> None:
-        call = f"{m.call:016x}"
-        self.ledger.say("set_up", call=call, kind=m.class_name, wait_ms=m.wait_ms, number=m.number,
-                        again=m.call in self.calls)  # fmt: skip
+    def _set_up(self, peer: Peer, m: BinaryMessage) -> None:
+        call = f"{m.call_id:016x}"
+        self.ledger.say("set_up", call=call, kind=m.class_name, wait_ms=m.timeout_ms, number=m.number,
+                        again=m.call_id in self.calls)  # fmt: skip
         if self._under("full") or len(self.calls) >= self.circuits:
             self.ledger.say("refused", call=call)
-            peer.say(DeskMessage(binary.RELEASE, m.call, cause=34, note="group_full"))
+            peer.say(BinaryMessage(binary.RELEASE, m.call_id, cause=34, reason="group_full"))
             return
         if self._under("error"):
             self.ledger.say("refused", call=call)
-            peer.say(DeskMessage(binary.RELEASE, m.call, cause=ERROR_CAUSE))
+            peer.say(BinaryMessage(binary.RELEASE, m.call_id, cause=ERROR_CAUSE))
             return
-        held = self.calls[m.call] = Held(peer, m.class_name)
+        held = self.calls[m.call_id] = Held(peer, m.class_name)
         if self._under("silent"):
             return
         wait = self.set_up_ms * self.random.uniform(0.5, 1.5) * (10 if self._under("slow") else 1)
-        held.timer = self.loop.timers.schedule(self.loop.now + int(wait * MS), lambda: self._answer(m.call))
+        held.timer = self.loop.timers.schedule(
+            self.loop.now + int(wait * MS), lambda: self._answer(m.call_id)
+        )
         self._group_changed()
 
     def _answer(self, call: int) -> None:
@@ -171,7 +175,7 @@
         if self._under("spoil"):
             held.peer.stream.send(NOISE)
         else:
-            answer = DeskMessage(binary.ANSWER, call, description=self.description(call))
+            answer = BinaryMessage(binary.ANSWER, call, session_description=self.description(call))
             for _ in range(2 if self._under("twice") else 1):
                 held.peer.say(answer)
         wait = self.class_holds.get(held.kind, self.hold_ms) * self.random.uniform(0.5, 1.5)
@@ -186,7 +190,7 @@
         if held is None:
             return
         self.ledger.say("over", call=f"{call:016x}")
-        release = DeskMessage(binary.RELEASE, call, cause=16)
+        release = BinaryMessage(binary.RELEASE, call, cause=16)
         # Also on connections that open soon after: the one of its set-up may be broken, and not known to be.
         host = held.peer.host
         self.told_late = [late for late in self.told_late if self.loop.now - late[0] < LATE_NS]
--- a/arrowrail/lab/observers.py
+++ b/arrowrail/lab/observers.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from arrowrail.lab.ledger import Ledger
-from arrowrail.wire.desk import binary
+from arrowrail.wire.binary import messages as binary
 
 KINDS = {binary.SET_UP: "set_up", binary.ANSWER: "answer", binary.RELEASE: "release"}
 OFFSET = re.compile(rb'"offset":(\d+)[,}]')
@@ -74,7 +74,7 @@
             if kind is not None:
                 self._ledger.say(
                     kind, way=way, route=self._route, connection=self._connection,
-                    call=f"{message.call:016x}", cause=message.cause,
+                    call=f"{message.call_id:016x}", cause=message.cause,
                 )  # fmt: skip
 
 
--- a/arrowrail/lab/soak/callers.py
+++ b/arrowrail/lab/soak/callers.py
@@ -110,7 +110,7 @@
     def received(self, data: bytes) -> None:
         for message in self.parser.feed(data):
             if isinstance(message, sip.Malformed):
-                self.callers.ledger.say("unreadable", line=self.number, why=message.why)
+                self.callers.ledger.say("unreadable", line=self.number, why=message.reason)
             else:
                 self.callers.message(self, message)
         self.idle_since = self.callers.loop.now
--- a/arrowrail/lab/soak/variants.py
+++ b/arrowrail/lab/soak/variants.py
@@ -17,7 +17,7 @@
 from arrowrail.run import main as run_main
 from arrowrail.shutdown.plan import ShutdownPlan
 from arrowrail.wire.bus.client import BusClient
-from arrowrail.wire.sip.front import SipFront
+from arrowrail.wire.sip.frontend import SipFrontend
 
 
 def _without_drain() -> None:
@@ -43,16 +43,16 @@
 
 def _without_one_answer() -> None:
     """A refusal is said twice."""
-    said = SipFront.respond
+    said = SipFrontend.respond
 
-    def answer(self: SipFront, request: Request, answer: FinalResponse) -> None:
+    def answer(self: SipFrontend, request: Request, answer: FinalResponse) -> None:
         dialog = self.dialogs.get(request.params.call_id)
         said(self, request, answer)
         if answer.result != ESTABLISHED and dialog is not None:
             self.dialogs[request.params.call_id] = dialog
             said(self, request, answer)
 
-    setattr(SipFront, "respond", answer)  # noqa: B010
+    setattr(SipFrontend, "respond", answer)  # noqa: B010
 
 
 def _without_shutdown() -> None:
--- a/arrowrail/run/main.py
+++ b/arrowrail/run/main.py
@@ -19,9 +19,9 @@
 from arrowrail.run.wake import on_signal
 from arrowrail.shutdown.plan import ShutdownPlan
 from arrowrail.telemetry.events import event
+from arrowrail.wire.binary.backend import BinaryBackend
 from arrowrail.wire.bus.client import BusClient
-from arrowrail.wire.desk.back import DeskBack
-from arrowrail.wire.sip.front import SipFront
+from arrowrail.wire.sip.frontend import SipFrontend
 
 if TYPE_CHECKING:
     from arrowrail.config.records import Controller
@@ -39,8 +39,8 @@
         self.core = Core(config.settings, config.seed, self.loop.timers)
         # A few connections to each desk exchange, from what callers leave of the descriptors.
         per_desk = max(1, min(MOST_LINKS, config.sockets // LINK_SHARE))
-        DeskBack(self.loop, self.core, config.connect_timeout_ns, per_desk)
-        self.front = SipFront(self.loop, self.core, config.listen, config.sockets)
+        BinaryBackend(self.loop, self.core, config.connect_timeout_ns, per_desk)
+        self.front = SipFrontend(self.loop, self.core, config.listen, config.sockets)
         self.bus = BusClient(self.loop, self.core, config.bus)
         self.config, self.operator = config, operator
         self.extras: Extras | None = None
--- a/arrowrail/sidecar/main.py
+++ b/arrowrail/sidecar/main.py
@@ -44,7 +44,7 @@
         self.program = Program(_config(compiled, seed))
         self.core: Core = self.program.core
         self.admission = self.core.admission = RecordsAdmission(compiled, self.program.loop.now)
-        self.program.front.most_callers = compiled.connections
+        self.program.front.max_connections = compiled.connections
         self.reading = Reading(self.program.loop, self._read)
         self.folder, self.form = folder, form  # the form of logs, where the command line names it
         self.numbers: dict[str, int] = {line.name: line.number for line in compiled.lines}
@@ -147,7 +147,7 @@
         news, pools = self.admission.use(new, self.program.loop.now)
         self.core.events += pools
         self.core.update_endpoints(SOURCE, False, news)
-        self.program.front.most_callers = new.connections
+        self.program.front.max_connections = new.connections
         if self._m3ua is not None:
             self._m3ua.use(new)
         if self.group is not None and new.group is not None:
--- a/arrowrail/wire/unfinished.py
+++ b/arrowrail/wire/bad_input.py
@@ -13,7 +13,7 @@
 LOG_PAUSE_NS = 5_000 * MS
 
 
-class Unfinished:
+class MessageTimeout:
     """Runs ``late`` if a message stays unfinished for too long, however its bytes trickle in."""
 
     __slots__ = ("_deadline", "_late", "_limit", "_loop")
@@ -22,7 +22,7 @@
         self._loop, self._limit, self._late = loop, limit_ns, late
         self._deadline: Timer | None = None
 
-    def heard(self, pending: bool, finished: bool) -> None:
+    def update(self, pending: bool, finished: bool) -> None:
         """After each read: whether a message is begun, and whether any has been finished by it."""
         if self._deadline is not None and (finished or not pending):
             self.cancel()
@@ -35,18 +35,18 @@
             self._deadline = None
 
 
-class Tally:
+class RateLimitedWarning:
     """Bad input is counted; a line says how much there was, once in a while."""
 
-    __slots__ = ("_loop", "_next", "total", "unsaid")
+    __slots__ = ("_loop", "_next", "total", "unlogged")
 
     def __init__(self, loop: Loop) -> None:
         self._loop, self._next = loop, 0
-        self.total = self.unsaid = 0
+        self.total = self.unlogged = 0
 
-    def count(self, what: str) -> None:
+    def record(self, what: str) -> None:
         self.total += 1
-        self.unsaid += 1
+        self.unlogged += 1
         if self._loop.now >= self._next:
-            logger.warning("{} ({} like it since the last such line)", what, self.unsaid)
-            self._next, self.unsaid = self._loop.now + LOG_PAUSE_NS, 0
+            logger.warning("{} ({} like it since the last such line)", what, self.unlogged)
+            self._next, self.unlogged = self._loop.now + LOG_PAUSE_NS, 0
--- a/arrowrail/wire/desk/connection.py
+++ b/arrowrail/wire/binary/connection.py
@@ -13,13 +13,13 @@
 from arrowrail.failure_detection.endpoint import CHECK_TIMEOUT_NS, GREETING_TIMEOUT_NS
 from arrowrail.state.endpoints import TERMINATED
 from arrowrail.telemetry.events import disconnect_reason, event
-from arrowrail.wire.desk import binary
-from arrowrail.wire.reconnect import Reconnect
+from arrowrail.wire.bad_input import MessageTimeout
+from arrowrail.wire.binary import messages as binary
+from arrowrail.wire.reconnect import ReconnectTimer
 from arrowrail.wire.stream import Stream, connect
-from arrowrail.wire.unfinished import Unfinished
 
 if TYPE_CHECKING:
-    from arrowrail.wire.desk.pool import ConnectionPool
+    from arrowrail.wire.binary.pool import ConnectionPool
 
 UNHEARD_NS = 8_000 * MS  # how long a release that was written counts as possibly lost with its connection
 MOST_UNHEARD = 200  # of one connection
@@ -39,7 +39,7 @@
     """One connection to a desk exchange, and the set-ups on it that are unanswered."""
 
     __slots__ = (
-        "desk",
+        "endpoint",
         "greeted",
         "opened_ns",
         "parser",
@@ -54,13 +54,13 @@
     def __init__(self, pool: ConnectionPool) -> None:
         self.opened_ns = 0  # when the present connection came up
         self.greeted = False  # whether anything came on it
-        self.pool, self.desk = pool, pool.desk
+        self.pool, self.endpoint = pool, pool.endpoint
         self.stream: Stream | None = None
         self.parser = binary.BinaryParser()
         self.waiting: dict[str, bytes] = {}  # unanswered set-ups by call, queued or sent
         self.unheard: dict[str, Release] = {}  # releases written here that the server has not confirmed
-        self.retry = Reconnect(pool.back.loop, self.open)
-        self.unfinished = Unfinished(pool.back.loop, UNFINISHED_NS, self._stalled)
+        self.retry = ReconnectTimer(pool.backend.loop, self.open)
+        self.unfinished = MessageTimeout(pool.backend.loop, UNFINISHED_NS, self._stalled)
 
     @property
     def up(self) -> bool:
@@ -72,22 +72,22 @@
         self.retry.cancel()
         self.parser = binary.BinaryParser()
         try:
-            self.stream = connect(self.pool.back.loop, self, self.desk.entry.address)
+            self.stream = connect(self.pool.backend.loop, self, self.endpoint.entry.address)
         except (OSError, ValueError) as why:  # no descriptor left, or no address
-            logger.warning("no connection to {}: {}", self.desk.entry.uid, why)
+            logger.warning("no connection to {}: {}", self.endpoint.entry.uid, why)
             error = why if isinstance(why, OSError) else OSError(errno.EINVAL, str(why))
-            self.pool.back.loop.timers.schedule(self.pool.back.loop.now, partial(self.lost, error))
+            self.pool.backend.loop.timers.schedule(self.pool.backend.loop.now, partial(self.lost, error))
             return
-        self.retry.within(self.pool.back.connect_timeout_ns, self.stream)
+        self.retry.start_connect_timeout(self.pool.backend.connect_timeout_ns, self.stream)
 
     def connected(self) -> None:
-        self.opened_ns, self.greeted = self.pool.back.loop.now, False
+        self.opened_ns, self.greeted = self.pool.backend.loop.now, False
         self.pool.monitor.connected(self.opened_ns)
-        self.retry.succeeded()
+        self.retry.reset_backoff()
         self.pool.flush_releases(self)
 
     def received(self, data: bytes) -> None:
-        now, monitor = self.pool.back.loop.now, self.pool.monitor
+        now, monitor = self.pool.backend.loop.now, self.pool.monitor
         monitor.data_received(now, self.opened_ns)
         if not self.greeted:
             self.greeted = True
@@ -95,8 +95,8 @@
         try:
             found = self.parser.feed(data)
             for message in found:
-                self.pool.back.message(self, message)
-            self.unfinished.heard(self.parser.pending, bool(found))
+                self.pool.backend.message(self, message)
+            self.unfinished.update(self.parser.pending, bool(found))
         except binary.BinaryError as wrong:
             self._unreadable(str(wrong))
 
@@ -106,7 +106,7 @@
         self._unreadable(f"stopped in the middle of a message: {self.parser.head}")
 
     def _unreadable(self, why: str) -> None:
-        self.pool.back.report_unreadable(self.desk, why)
+        self.pool.backend.report_unreadable(self.endpoint, why)
         if self.stream is not None:
             self.stream.fail(OSError(errno.EPROTO, why))
 
@@ -118,22 +118,22 @@
         if stream is not None:
             # Guards against a call that its caller ended standing on beyond a broken connection: what was
             # written may have gone down with it.
-            since = self.pool.back.loop.now - UNHEARD_NS
+            since = self.pool.backend.loop.now - UNHEARD_NS
             unheard, self.unheard = self.unheard, {}
             self.pool.queue_releases([r for r in unheard.values() if r.written_ns > since])
-        if self.desk.entry.state != TERMINATED:
-            self.retry.failed()
+        if self.endpoint.entry.state != TERMINATED:
+            self.retry.schedule()
             self.pool.connection_failed(why)
         never_up = stream is None or stream.connecting
         for call, data in waiting.items():
-            unsent = stream is None or never_up or stream.unsent(call)
+            unsent = stream is None or never_up or stream.is_unsent(call)
             self.pool.interrupted(call, data, never_up, unsent)
 
     def _log_loss(self, was_up: bool, why: OSError | None, waiting: int) -> None:
         name = "server.connection_lost" if was_up else "server.connect_failed"
-        self.pool.back.core.metrics.count(name, disconnect_reason(why))
+        self.pool.backend.core.metrics.count(name, disconnect_reason(why))
         event(name, "{server}: {reason}, {waiting} unanswered set-ups on the connection", level="DEBUG",
-              server=self.desk.entry.uid, reason=disconnect_reason(why), waiting=waiting)  # fmt: skip
+              server=self.endpoint.entry.uid, reason=disconnect_reason(why), waiting=waiting)  # fmt: skip
 
     def send_set_up(self, call: str, data: bytes) -> None:
         self.waiting[call] = data
@@ -145,7 +145,7 @@
         """Write a release; it is remembered until the server confirms it, which it need not do."""
         if self.stream is None:
             return
-        self.unheard[call] = Release(call, data, self.pool.back.loop.now)
+        self.unheard[call] = Release(call, data, self.pool.backend.loop.now)
         if len(self.unheard) > MOST_UNHEARD:
             del self.unheard[next(iter(self.unheard))]
         self.stream.send(data)
@@ -171,7 +171,7 @@
         self.opened_ns, self.greeted = connection.opened_ns, connection.greeted
         stream.owner = self
         connection.unfinished.cancel()
-        stream.finish_reading()
+        stream.half_close()
 
     def lost(self, why: OSError | None) -> None:
         self.stream = None
@@ -189,22 +189,22 @@
 
     def __init__(self, pool: ConnectionPool) -> None:
         super().__init__(pool)
-        self.begun_ns = pool.back.loop.now
+        self.begun_ns = pool.backend.loop.now
 
     @property
     def pending(self) -> bool:
         """Whether it has brought nothing yet, and still may."""
-        return not self.greeted and self.stream is not None and not self.stream.finishing
+        return not self.greeted and self.stream is not None and not self.stream.closing
 
     def open(self) -> None:
         super().open()
         if self.stream is not None:
             self.retry.cancel()
-            self.retry.within(CHECK_TIMEOUT_NS, self.stream)
+            self.retry.start_connect_timeout(CHECK_TIMEOUT_NS, self.stream)
 
     def connected(self) -> None:
         super().connected()
-        loop = self.pool.back.loop
+        loop = self.pool.backend.loop
         loop.timers.schedule(loop.now + GREETING_TIMEOUT_NS, self._done)
 
     def _done(self) -> None:
@@ -212,11 +212,11 @@
         if self.stream is None:
             return
         if not self.greeted:
-            self.pool.monitor.greeting_missing(self.pool.back.loop.now)
-        self.stream.finish_reading()
+            self.pool.monitor.greeting_missing(self.pool.backend.loop.now)
+        self.stream.half_close()
 
     def lost(self, why: OSError | None) -> None:
-        was_up, was_left = self.up, self.stream is not None and self.stream.finishing
+        was_up, was_left = self.up, self.stream is not None and self.stream.closing
         self.stream = None
         self.unfinished.cancel()
         self.retry.cancel()
@@ -227,5 +227,5 @@
             self.pool.check_failed(why)
         elif not self.greeted and not was_left:
             self.pool.monitor.connection_limit_reached(
-                self.pool.back.loop.now
+                self.pool.backend.loop.now
             )  # it took the connection, and ended it
--- a/arrowrail/wire/desk/binary.py
+++ b/arrowrail/wire/binary/messages.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 
 MAX_MESSAGE = 16 * 1024
-SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, GROUP, TEST, TESTED = 1, 6, 9, 12, 16, 43, 52, 53
+SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, GROUP_STATE, PROBE, PROBE_RESULT = 1, 6, 9, 12, 16, 43, 52, 53
 P_CLASS, P_WAIT, P_NUMBER, P_NOTE, P_TOLD_WAIT, P_GROUP, P_CAUSE, P_DESCRIPTION = (
     129, 132, 141, 150, 153, 156, 171, 174,
 )  # fmt: skip
-KINDS = (SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, GROUP, TEST, TESTED)
+KINDS = (SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, GROUP_STATE, PROBE, PROBE_RESULT)
 MAX_FIGURE = 10**9  # far above any wait in milliseconds, or any group
 HEAD = struct.Struct(">HBQ")
 PARAMETER = struct.Struct(">BH")
@@ -21,18 +21,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DeskMessage:
+class BinaryMessage:
     kind: int
-    call: int
+    call_id: int
     cause: int = 0
     class_name: str = ""
     number: str = ""
-    wait_ms: int = 0  # how long the controller will wait
-    note: str = ""
-    told_wait_ms: int = 0  # at a full processor
+    timeout_ms: int = 0  # how long the controller will wait
+    reason: str = ""
+    retry_after_ms: int = 0  # at a full processor
     free: float = -1.0  # circuits of the group, in its state
     size: float = -1.0
-    description: bytes = b""
+    session_description: bytes = b""
 
 
 class BinaryParser:
@@ -51,7 +51,7 @@
         """How that message begins, for a log line."""
         return self._buffer[:16].hex()
 
-    def feed(self, data: bytes) -> list[DeskMessage]:
+    def feed(self, data: bytes) -> list[BinaryMessage]:
         """Whole messages so far; ``BinaryError`` on the first that is none."""
         self._buffer += data
         found = []
@@ -66,7 +66,7 @@
         return found
 
 
-def decode(frame: bytes) -> DeskMessage:
+def decode(frame: bytes) -> BinaryMessage:
     _, kind, call = HEAD.unpack_from(frame)
     if kind not in KINDS:
         # Guards against a spoilt stream being read on: what looks like a message in it may be none.
@@ -83,7 +83,7 @@
         values[code] = frame[at : at + length]
         at += length
     cause = values.get(P_CAUSE, b"\0")
-    if len(cause) != 1 or (kind in (RELEASE, TESTED) and P_CAUSE not in values):
+    if len(cause) != 1 or (kind in (RELEASE, PROBE_RESULT) and P_CAUSE not in values):
         raise BinaryError("no usable cause")
     if kind == ANSWER and not values.get(P_DESCRIPTION):
         raise BinaryError("an answer without a description")
@@ -92,7 +92,7 @@
             code: values[code].decode() for code in (P_CLASS, P_NUMBER, P_NOTE, P_GROUP) if code in values
         }
         free, size = _group(text.get(P_GROUP, ""))
-        return DeskMessage(
+        return BinaryMessage(
             kind, call, cause[0], text.get(P_CLASS, ""), text.get(P_NUMBER, ""),
             _figure(values.get(P_WAIT, b"0")), text.get(P_NOTE, ""), _figure(values.get(P_TOLD_WAIT, b"0")),
             free, size,
@@ -116,23 +116,23 @@
     return free, size
 
 
-def encode(m: DeskMessage) -> bytes:
+def encode(m: BinaryMessage) -> bytes:
     parts: list[tuple[int, bytes]] = []
-    if m.kind in (RELEASE, TEST, TESTED):
+    if m.kind in (RELEASE, PROBE, PROBE_RESULT):
         parts.append((P_CAUSE, bytes((m.cause,))))
     if m.class_name:
         parts.append((P_CLASS, m.class_name.encode()))
-    if m.wait_ms:
-        parts.append((P_WAIT, str(m.wait_ms).encode()))
+    if m.timeout_ms:
+        parts.append((P_WAIT, str(m.timeout_ms).encode()))
     if m.number:
         parts.append((P_NUMBER, m.number.encode()))
-    if m.note:
-        parts.append((P_NOTE, m.note.encode()))
-    if m.told_wait_ms:
-        parts.append((P_TOLD_WAIT, str(m.told_wait_ms).encode()))
+    if m.reason:
+        parts.append((P_NOTE, m.reason.encode()))
+    if m.retry_after_ms:
+        parts.append((P_TOLD_WAIT, str(m.retry_after_ms).encode()))
     if m.size >= 0:
         parts.append((P_GROUP, f"spare:{m.free:g};total:{m.size:g}".encode()))
-    if m.description:
-        parts.append((P_DESCRIPTION, m.description))
+    if m.session_description:
+        parts.append((P_DESCRIPTION, m.session_description))
     body = b"".join(PARAMETER.pack(code, len(value)) + value for code, value in parts)
-    return HEAD.pack(HEAD.size - 2 + len(body), m.kind, m.call) + body
+    return HEAD.pack(HEAD.size - 2 + len(body), m.kind, m.call_id) + body
--- a/arrowrail/wire/desk/pool.py
+++ b/arrowrail/wire/binary/pool.py
@@ -8,17 +8,17 @@
 from arrowrail.core.requests import CAUSE_CONNECTION_FAILED, MS, Q850_NORMAL_CLEARING
 from arrowrail.failure_detection.endpoint import EndpointMonitor
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATING, Endpoint
-from arrowrail.wire.desk import binary
-from arrowrail.wire.desk.binary import DeskMessage
-from arrowrail.wire.desk.connection import (
+from arrowrail.wire.binary import messages as binary
+from arrowrail.wire.binary.connection import (
     ClosingConnection,
     ReachabilityCheck,
     Release,
     ServerConnection,
 )
+from arrowrail.wire.binary.messages import BinaryMessage
 
 if TYPE_CHECKING:
-    from arrowrail.wire.desk.back import DeskBack
+    from arrowrail.wire.binary.backend import BinaryBackend
 
 # After our start, calls of the process before may stand at any server, which tells of their ends here.
 CALLS_BEFORE_NS = 60_000 * MS
@@ -32,9 +32,9 @@
     few connections they are fewer, and what is owed to the exchange goes out on another one at once.
     """
 
-    def __init__(self, back: DeskBack, desk: Endpoint, size: int) -> None:
-        self.back, self.desk = back, desk
-        self.monitor = EndpointMonitor(back.loop.now)
+    def __init__(self, backend: BinaryBackend, endpoint: Endpoint, size: int) -> None:
+        self.backend, self.endpoint = backend, endpoint
+        self.monitor = EndpointMonitor(backend.loop.now)
         self.checks: list[ReachabilityCheck] = []  # oldest first
         self.unknown_calls = False  # calls may stand there that were set up before our start
         self.pending_releases: list[Release] = []  # releases that found no connection
@@ -69,7 +69,7 @@
     def interrupted(self, call: str, data: bytes, never_up: bool, unsent: bool) -> None:
         """The connection that a set-up was on has broken, before its answer, or never came up."""
         other = self.least_loaded()
-        if unsent and other.up and self.desk.entry.state == IN_SERVICE:
+        if unsent and other.up and self.endpoint.entry.state == IN_SERVICE:
             other.send_set_up(call, data)  # nobody has seen it: it goes on elsewhere as the same attempt
             return
         if not unsent:
@@ -77,21 +77,23 @@
             self.release(call, Q850_NORMAL_CLEARING)
         outcome = "no_connection" if unsent else "connection_lost"
         # That a connection broke says nothing of the processor behind it; that none comes up does.
-        self.back.core.attempt_failed(self.desk, call, outcome, 0 if never_up else CAUSE_CONNECTION_FAILED)
+        self.backend.core.attempt_failed(
+            self.endpoint, call, outcome, 0 if never_up else CAUSE_CONNECTION_FAILED
+        )
 
     @property
     def in_use(self) -> bool:
         """Whether connections are wanted: a server that drains keeps its own while anything is left on it."""
-        state = self.desk.entry.state
+        state = self.endpoint.entry.state
         if state == TERMINATING:
-            if self.back.loop.now < self.back.started_ns + CALLS_BEFORE_NS:
+            if self.backend.loop.now < self.backend.started_ns + CALLS_BEFORE_NS:
                 return True
             left = (
                 self.unknown_calls
                 or self.pending_releases
                 or any(connection.waiting for connection in self.connections)
             )
-            return bool(left or self.back.core.established_calls[self.desk.endpoint_id])
+            return bool(left or self.backend.core.established_calls[self.endpoint.endpoint_id])
         return state == IN_SERVICE
 
     def _close_drained(self) -> None:
@@ -109,26 +111,26 @@
         if why is None or why.errno != errno.ECONNREFUSED:
             return
         if any(connection.up for connection in self.connections):
-            self.monitor.connection_limit_reached(self.back.loop.now)
+            self.monitor.connection_limit_reached(self.backend.loop.now)
         else:
-            self.monitor.connection_refused(self.back.loop.now)
+            self.monitor.connection_refused(self.backend.loop.now)
             self.check_server()
 
     def check_failed(self, why: OSError | None) -> None:
         if why is not None and why.errno == errno.ETIMEDOUT:
-            self.monitor.check_failed(self.back.loop.now)
+            self.monitor.check_failed(self.backend.loop.now)
         else:
             self.connection_failed(why)
 
     def check_server(self) -> None:
         """Give up calls whose server is gone; where calls stand in silence, try whether it is still there."""
-        now, core = self.back.loop.now, self.back.core
+        now, core = self.backend.loop.now, self.backend.core
         loss = self.monitor.detect_loss(now)
         if loss is not None:
-            core.endpoint_lost(self.desk, loss.reason, loss.before_ns)
+            core.endpoint_lost(self.endpoint, loss.reason, loss.before_ns)
         elif not self.in_use:
             self._close_drained()
-        elif core.established_calls[self.desk.endpoint_id]:
+        elif core.established_calls[self.endpoint.endpoint_id]:
             pending = [check.begun_ns for check in self.checks if check.pending]
             if self.monitor.check_due(now, pending):
                 core.metrics.count("server.checked")
@@ -146,13 +148,13 @@
         pending, self.pending_releases = self.pending_releases, []
         for release in pending:
             # Guards a call that has gone the same way again: a late release would end its new set-up.
-            if not self.back.core.has_attempt_at(release.call, self.desk):
+            if not self.backend.core.has_attempt_at(release.call, self.endpoint):
                 connection.send_release(release.call, release.data)
 
     def release(self, call: str, cause: int) -> None:
         """End a call, or a set-up that may have run, at the server."""
         connection = self.least_loaded()
-        data = binary.encode(DeskMessage(binary.RELEASE, int(call, 16), cause=cause))
+        data = binary.encode(BinaryMessage(binary.RELEASE, int(call, 16), cause=cause))
         if connection.stream is None:
             self.pending_releases = [*self.pending_releases, Release(call, data)][-MOST_PENDING:]
             connection.open()
--- a/arrowrail/wire/etcd/client.py
+++ b/arrowrail/wire/etcd/client.py
@@ -13,7 +13,7 @@
 from arrowrail.state.timers import Timer
 from arrowrail.wire.etcd import messages as etcd
 from arrowrail.wire.http import BodyParser, HttpError
-from arrowrail.wire.reconnect import FIRST_PAUSE_NS, LONGEST_PAUSE_NS
+from arrowrail.wire.reconnect import MAX_BACKOFF_NS, MIN_BACKOFF_NS
 from arrowrail.wire.stream import Stream, connect
 
 RANGE_NS = 5_000 * MS  # how long the range may take
@@ -26,7 +26,7 @@
 
     def __init__(self, loop: Loop, core: Core, address: str, prefix: str) -> None:
         self.loop, self.core, self.address, self.prefix = loop, core, address, prefix
-        self.pause_ns = FIRST_PAUSE_NS
+        self.pause_ns = MIN_BACKOFF_NS
         self.stream: Stream | None = None
         self._http = BodyParser()
         self._body = bytearray()
@@ -48,7 +48,7 @@
         """Read on elsewhere: the range there tells what differs."""
         if (address, prefix) == (self.address, self.prefix):
             return
-        self.address, self.prefix, self.pause_ns = address, prefix, FIRST_PAUSE_NS
+        self.address, self.prefix, self.pause_ns = address, prefix, MIN_BACKOFF_NS
         if self.stream is not None:  # else the next try is due soon, and goes to the new address
             self._cut(None)
 
@@ -99,7 +99,7 @@
         if self._quiet is not None:
             self._quiet.cancel()
         # Guards against hammering a gateway that answers the range and ends each watch at once.
-        if self._watch is not None and self.loop.now - self._watched_since > LONGEST_PAUSE_NS:
-            self.pause_ns = FIRST_PAUSE_NS
+        if self._watch is not None and self.loop.now - self._watched_since > MAX_BACKOFF_NS:
+            self.pause_ns = MIN_BACKOFF_NS
         self.loop.timers.schedule(self.loop.now + self.pause_ns, self.start)
-        self.pause_ns = min(2 * self.pause_ns, LONGEST_PAUSE_NS)
+        self.pause_ns = min(2 * self.pause_ns, MAX_BACKOFF_NS)
--- a/arrowrail/wire/m3ua/back.py
+++ b/arrowrail/wire/m3ua/back.py
@@ -21,7 +21,7 @@
 from arrowrail.wire.m3ua.link import ACTIVE, Association, M3uaSettings
 from arrowrail.wire.m3ua.messages import ProtocolData
 from arrowrail.wire.m3ua.rules import T1_NS, ClassRule
-from arrowrail.wire.reconnect import Reconnect
+from arrowrail.wire.reconnect import ReconnectTimer
 from arrowrail.wire.stream import connect
 
 SWEEP_NS = 150 * MS  # between two looks for servers that have fallen silent
@@ -53,12 +53,12 @@
     link: Association | None = None
     uses: dict[int, Use] = field(default_factory=dict)  # by the first CIC
     calls: dict[str, Use] = field(default_factory=dict)  # set-ups out and calls that stand
-    retry: Reconnect = field(init=False)
+    retry: ReconnectTimer = field(init=False)
     monitor: EndpointMonitor = field(init=False)
 
     def __post_init__(self) -> None:
         self.monitor = EndpointMonitor(self.back.loop.now, resets_on_restart=True)
-        self.retry = Reconnect(self.back.loop, self.open)
+        self.retry = ReconnectTimer(self.back.loop, self.open)
 
     # --- The association --------------------------------------------------------------------------------
 
@@ -73,11 +73,11 @@
         except OSError as why:  # no descriptor left
             loop.timers.schedule(loop.now, partial(self.lost, link, why))
             return
-        self.retry.within(self.back.connect_timeout_ns, stream)
+        self.retry.start_connect_timeout(self.back.connect_timeout_ns, stream)
 
     def active(self, link: Association) -> None:
         """Set-ups that waited for the handshake go out, and what was left to clear is cleared."""
-        self.retry.succeeded()
+        self.retry.reset_backoff()
         self.monitor.connected(self.back.loop.now)
         for use in list(self.uses.values()):
             if use.clearing:
@@ -95,7 +95,7 @@
         for use in list(self.uses.values()):
             if use.answered or use.clearing:
                 continue
-            never_left = not use.sent or stream is None or stream.unsent(use.call)
+            never_left = not use.sent or stream is None or stream.is_unsent(use.call)
             del self.calls[use.call]
             if never_left:
                 self._free(use)
@@ -108,7 +108,7 @@
         if self.desk.entry.state == TERMINATED:
             return
         logger.debug("association with {} lost: {}", self.desk.entry.uid, why)
-        self.retry.failed()
+        self.retry.schedule()
         if why is not None and why.errno == errno.ECONNREFUSED:
             self.monitor.connection_refused(self.back.loop.now)
         elif never_up:
@@ -176,7 +176,7 @@
         if use is None or use.answered:
             return False
         stream = self.link.stream if self.link is not None else None
-        if not use.sent or (stream is not None and stream.withdraw(call)):
+        if not use.sent or (stream is not None and stream.discard_unsent(call)):
             self._free(use)
             return True
         return False
--- a/arrowrail/wire/m3ua/link.py
+++ b/arrowrail/wire/m3ua/link.py
@@ -11,12 +11,12 @@
 from arrowrail.core.requests import MS
 from arrowrail.loop import Loop
 from arrowrail.state.timers import Timer
+from arrowrail.wire.bad_input import MessageTimeout, RateLimitedWarning
 from arrowrail.wire.m3ua import isup
 from arrowrail.wire.m3ua import messages as m3ua
 from arrowrail.wire.m3ua.isup import Isup, IsupError
 from arrowrail.wire.m3ua.messages import Error, Kind, M3uaError, Message, ProtocolData, Tag
 from arrowrail.wire.stream import Stream
-from arrowrail.wire.unfinished import Tally, Unfinished
 
 DOWN, INACTIVE, ACTIVE = "down", "inactive", "active"
 HANDSHAKE_NS = 2_000 * MS  # T(ack) of RFC 4666: an answer to ASPUP or ASPAC that takes longer won't come
@@ -54,8 +54,8 @@
         self._checking: Timer | None = None
         self._beat: Timer | None = None
         self._heard_at = loop.now
-        self.bad = Tally(loop)
-        self._unfinished = Unfinished(loop, UNFINISHED_NS, self._stalled)
+        self.bad = RateLimitedWarning(loop)
+        self._unfinished = MessageTimeout(loop, UNFINISHED_NS, self._stalled)
 
     # --- The connection ---------------------------------------------------------------------------------
 
@@ -65,22 +65,22 @@
         if self.asks:
             self._ask(Kind.ASPUP)
         else:
-            self._unfinished.heard(True, False)  # a peer that says nothing must not keep its place
+            self._unfinished.update(True, False)  # a peer that says nothing must not keep its place
 
     def received(self, data: bytes) -> None:
         self._heard_at = self.loop.now
         messages = self._parser.feed(data)
-        self._unfinished.heard(self._parser.pending, bool(messages))
+        self._unfinished.update(self._parser.pending, bool(messages))
         for found in messages:
             try:
                 if isinstance(found, M3uaError):
                     raise found
                 self._message(found)
             except M3uaError as wrong:
-                self.bad.count(f"M3UA: {wrong}")
+                self.bad.record(f"M3UA: {wrong}")
                 self._send(m3ua.error(wrong.code, str(wrong)))
                 if wrong.fatal and self.stream is not None:
-                    self.stream.finish()
+                    self.stream.close_gracefully()
                     self.lost(OSError(errno.EPROTO, str(wrong)))
                     return
             if self.stream is None or not self.stream.open:
@@ -105,7 +105,7 @@
         if stream is not None:
             if self.asks and self.state != DOWN:
                 self._send(m3ua.encode(Message(Kind.ASPDN)))
-            stream.finish()
+            stream.close_gracefully()
         self.state = DOWN
         self._unfinished.cancel()
         for deadline in (self._handshake, self._beat, self._checking):
--- a/arrowrail/wire/sip/front.py
+++ b/arrowrail/wire/sip/frontend.py
@@ -19,11 +19,11 @@
 )
 from arrowrail.loop import Loop
 from arrowrail.state.slots import SlotTable
+from arrowrail.wire.bad_input import MessageTimeout, RateLimitedWarning
 from arrowrail.wire.listener import Listener
 from arrowrail.wire.sip import messages as sip
 from arrowrail.wire.sip.releases import ReleaseDelivery
 from arrowrail.wire.stream import Stream
-from arrowrail.wire.unfinished import Tally, Unfinished
 
 CALLER_LIMIT = 96 * 1024  # unread answers of one caller: hundreds of these have to fit into memory
 IDLE_NS = 20_000 * MS  # callers close theirs after 4 s: what idles longer has a peer that is gone
@@ -39,7 +39,7 @@
     """One connection from callers; it carries many calls."""
 
     __slots__ = (
-        "front",
+        "frontend",
         "handle",
         "idle_since",
         "open_calls",
@@ -51,19 +51,19 @@
         "unfinished",
     )
 
-    def __init__(self, front: SipFront, sock: socket.socket) -> None:
-        self.front = front
+    def __init__(self, frontend: SipFrontend, sock: socket.socket) -> None:
+        self.frontend = frontend
         self.parser = sip.SipParser()
         self.open_calls: set[str] = set()  # set-ups without their final answer
-        self.idle_since = front.loop.now
+        self.idle_since = frontend.loop.now
         self.proven = False  # it has said something of use
         self.stood = False  # a call on it was answered
         # Guards against the newest of those accepted in one turn being closed as the idlest of them.
-        self.serial = front.accepted = front.accepted + 1
-        self.handle = front.callers.add(self)
-        self.unfinished = Unfinished(front.loop, UNFINISHED_NS, self._stalled)
-        self.unfinished.heard(True, False)  # who says nothing at all is owed a close as well
-        self.stream = Stream(front.loop, sock, self, limit=CALLER_LIMIT)
+        self.serial = frontend.accepted = frontend.accepted + 1
+        self.handle = frontend.callers.add(self)
+        self.unfinished = MessageTimeout(frontend.loop, UNFINISHED_NS, self._stalled)
+        self.unfinished.update(True, False)  # who says nothing at all is owed a close as well
+        self.stream = Stream(frontend.loop, sock, self, limit=CALLER_LIMIT)
 
     @property
     def trust(self) -> int:
@@ -73,23 +73,23 @@
         pass  # it was accepted
 
     def received(self, data: bytes) -> None:
-        self.idle_since = self.front.loop.now
+        self.idle_since = self.frontend.loop.now
         found = self.parser.feed(data)
-        self.unfinished.heard(self.parser.pending, bool(found))
+        self.unfinished.update(self.parser.pending, bool(found))
         for message in found:
             if isinstance(message, sip.Malformed):
-                self.front.malformed(self, message)
+                self.frontend.malformed(self, message)
             else:
-                self.front.message(self, message)
-            if self.stream.finishing or not self.stream.open:
+                self.frontend.message(self, message)
+            if self.stream.closing or not self.stream.open:
                 return  # what is behind a message that can't be read is not to be trusted
 
     def _stalled(self) -> None:
         """It said nothing, or stopped in the middle of a message."""
-        self.front.drop(self)
+        self.frontend.drop(self)
 
     def lost(self, _why: OSError | None) -> None:
-        self.front.gone(self)
+        self.frontend.gone(self)
 
 
 @dataclass(slots=True)
@@ -101,7 +101,7 @@
 
 
 @dataclass(slots=True)
-class SipFront:
+class SipFrontend:
     loop: Loop
     core: Core
     address: str
@@ -110,13 +110,13 @@
     dialogs: dict[str, Dialog] = field(default_factory=dict)
     listener: Listener | None = None
     accepted: int = 0
-    most_callers: int = 0  # connections at a time, where a limit is set; 0: what descriptors leave
-    malformed_seen: Tally = field(init=False)
+    max_connections: int = 0  # connections at a time, where a limit is set; 0: what descriptors leave
+    malformed_seen: RateLimitedWarning = field(init=False)
     releases: ReleaseDelivery = field(init=False)
 
     def __post_init__(self) -> None:
         self.releases = ReleaseDelivery(self.loop, self.core, self.callers)
-        self.malformed_seen = Tally(self.loop)
+        self.malformed_seen = RateLimitedWarning(self.loop)
 
     def start(self) -> None:
         self.core.frontends.append(self)
@@ -130,8 +130,8 @@
         self.releases.deliver()
 
     def _room(self) -> bool:
-        if self.most_callers:
-            return len(self.callers) + len(self.loop.closing_streams) < self.most_callers
+        if self.max_connections:
+            return len(self.callers) + len(self.loop.closing_streams) < self.max_connections
         return len(self.callers) + len(self.loop.closing_streams) < max(8, self.max_sockets - RESERVED)
 
     def _close_idlest(self) -> bool:
@@ -152,7 +152,7 @@
             return (0 if since > SPEAK_NS else 2), caller.idle_since, caller.serial
 
         for caller in sorted((c for c in self.callers if not c.open_calls), key=rank):
-            if not caller.stream.unread:
+            if not caller.stream.has_unread_input:
                 self._close(caller)
                 return True
         return False
@@ -162,7 +162,7 @@
         for call in list(caller.open_calls):
             self._refuse_open(call, caller, 503)
         self.gone(caller)
-        caller.stream.finish(self._left)
+        caller.stream.close_gracefully(self._left)
 
     def _left(self) -> None:
         if self.listener is not None:
@@ -182,7 +182,7 @@
         now = self.loop.now
         for caller in self.callers:
             idle = not caller.open_calls and now - caller.idle_since > IDLE_NS
-            if idle and not caller.stream.unread:
+            if idle and not caller.stream.has_unread_input:
                 self._close(caller)
         self.releases.expire(now)
         if self.listener is not None:
@@ -205,7 +205,7 @@
     # --- From callers -----------------------------------------------------------------------------------
 
     def malformed(self, caller: Caller, found: sip.Malformed) -> None:
-        self.malformed_seen.count(f"malformed message from a caller: {found.why}")
+        self.malformed_seen.record(f"malformed message from a caller: {found.reason}")
         message = found.message
         if message.call_id in caller.open_calls:
             # One answer for both: a second one under the same id would be taken for the first set-up's.
--- a/arrowrail/wire/sip/messages.py
+++ b/arrowrail/wire/sip/messages.py
@@ -41,7 +41,7 @@
     """
 
     status: int
-    why: str
+    reason: str
     message: SipMessage
     fatal: bool
 
--- a/arrowrail/wire/sip/releases.py
+++ b/arrowrail/wire/sip/releases.py
@@ -17,7 +17,7 @@
 from arrowrail.telemetry.events import call_event, event, first_ids
 
 if TYPE_CHECKING:
-    from arrowrail.wire.sip.front import Caller
+    from arrowrail.wire.sip.frontend import Caller
 
 KEPT_NS = 8_000 * MS  # how long a release waits for a connection to go out on
 PATIENCE_NS = 250 * MS  # how long a release waits for a better connection, twice at most
--- a/arrowrail/wire/stream.py
+++ b/arrowrail/wire/stream.py
@@ -74,7 +74,7 @@
         self.loop, self.sock, self.owner = loop, sock, owner
         self.connecting = connecting
         self.open = True
-        self.finishing = False
+        self.closing = False
         self._out: deque[Unsent] = deque()
         self._size, self._limit = 0, limit
         self._mask = 0
@@ -85,7 +85,7 @@
 
     def send(self, data: bytes, tag: object = None) -> None:
         """Queue a whole message and write what the peer has room for; ``tag`` names it for ``withdraw``."""
-        if not self.open or self.finishing:
+        if not self.open or self.closing:
             return
         self._out.append(Unsent(data, tag))
         self._size += len(data)
@@ -97,12 +97,12 @@
         elif not self.connecting and len(self._out) == 1:
             self._flush()
 
-    def unsent(self, tag: object) -> bool:
+    def is_unsent(self, tag: object) -> bool:
         """Whether not one byte of the message has been written."""
         return any(item.tag == tag and item.offset == 0 for item in self._out)
 
     @property
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether input waits in the kernel: closing now would destroy it, and what answers it."""
         try:
             return self.open and bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
@@ -113,7 +113,7 @@
     def flushed(self) -> bool:
         return not self._out
 
-    def withdraw(self, tag: object) -> bool:
+    def discard_unsent(self, tag: object) -> bool:
         """Take a message back that is still queued whole; half a message has to be finished."""
         for item in self._out:
             if item.tag == tag and item.offset == 0:
@@ -127,25 +127,25 @@
             self._shut()
             self._out.clear()
 
-    def finish(self, closed: Callable[[], None] | None = None) -> None:
+    def close_gracefully(self, closed: Callable[[], None] | None = None) -> None:
         """Write what is queued, half-close, and read on until the peer closes, for a last word to it.
 
         Guards against the last word being destroyed: a close with input unread resets the connection, and the
         reset can overtake what was written before it.  What comes is discarded, for ``LINGER_NS`` at most.
         """
-        if not self.open or self.connecting or self.finishing:
+        if not self.open or self.connecting or self.closing:
             self.close()
             if closed is not None:
                 closed()
             return
         self.owner = _Leaving(closed)
-        self.finish_reading()
+        self.half_close()
 
-    def finish_reading(self) -> None:
+    def half_close(self) -> None:
         """As ``finish``, but the owner still gets what comes until the peer closes."""
-        if not self.open or self.connecting or self.finishing:
+        if not self.open or self.connecting or self.closing:
             return
-        self.finishing = True
+        self.closing = True
         self.loop.closing_streams[self] = None
         if len(self.loop.closing_streams) > MOST_LEAVING:
             next(iter(self.loop.closing_streams)).fail(None)
@@ -223,6 +223,6 @@
         if not self.open:
             return
         self._watch()
-        if self.finishing and not self._out:
+        if self.closing and not self._out:
             with contextlib.suppress(OSError):  # the peer has gone already
                 self.sock.shutdown(socket.SHUT_WR)
--- a/examples/toy_call.py
+++ b/examples/toy_call.py
@@ -30,7 +30,7 @@
         while data := sock.recv(65536):
             for m in parser.feed(data):
                 if isinstance(m, sip.Malformed):
-                    print("unreadable:", m.why)
+                    print("unreadable:", m.reason)
                     return 1
                 if m.method == "BYE":
                     print("the call is over:", m.headers.get("reason", ""))
--- a/tests/live.py
+++ b/tests/live.py
@@ -21,8 +21,8 @@
 from arrowrail.config.records import Controller
 from arrowrail.run.config import Config
 from arrowrail.run.main import Program
+from arrowrail.wire.binary import messages as binary
 from arrowrail.wire.bus.messages import event_of
-from arrowrail.wire.desk import binary
 from arrowrail.wire.m3ua import messages as m3ua
 from arrowrail.wire.m3ua.isup import Isup, IsupType
 from arrowrail.wire.m3ua.isup import decode as read_isup
@@ -137,25 +137,25 @@
         except BlockingIOError:
             self.sock.settimeout(LIMIT_S)
 
-    def desk(self, free: int = 10) -> Peer[binary.DeskMessage]:
+    def desk(self, free: int = 10) -> Peer[binary.BinaryMessage]:
         """The next connection of a binary back, told the state of the group at once."""
-        peer: Peer[binary.DeskMessage] = Peer(self.accept(), binary.BinaryParser().feed)
-        tell(peer, binary.GROUP, "0" * 16, free=free, size=10)
+        peer: Peer[binary.BinaryMessage] = Peer(self.accept(), binary.BinaryParser().feed)
+        tell(peer, binary.GROUP_STATE, "0" * 16, free=free, size=10)
         return peer
 
 
-def tell(peer: Peer[binary.DeskMessage], kind: int, call: str, **more: Any) -> None:
+def tell(peer: Peer[binary.BinaryMessage], kind: int, call: str, **more: Any) -> None:
     if kind == binary.ANSWER:
-        more = {"description": SDP} | more
-    peer.sock.sendall(binary.encode(binary.DeskMessage(kind, int(call, 16), **more)))
+        more = {"session_description": SDP} | more
+    peer.sock.sendall(binary.encode(binary.BinaryMessage(kind, int(call, 16), **more)))
 
 
-def set_up(peer: Peer[binary.DeskMessage], call: str) -> binary.DeskMessage:
-    return peer.take(lambda m: m.kind == binary.SET_UP and m.call == int(call, 16))
+def set_up(peer: Peer[binary.BinaryMessage], call: str) -> binary.BinaryMessage:
+    return peer.take(lambda m: m.kind == binary.SET_UP and m.call_id == int(call, 16))
 
 
-def release(peer: Peer[binary.DeskMessage], call: str) -> binary.DeskMessage:
-    return peer.take(lambda m: m.kind == binary.RELEASE and m.call == int(call, 16))
+def release(peer: Peer[binary.BinaryMessage], call: str) -> binary.BinaryMessage:
+    return peer.take(lambda m: m.kind == binary.RELEASE and m.call_id == int(call, 16))
 
 
 def target(uid: str, address: str, cell: int, state: str = "in_service", **more: Any) -> dict[str, Any]:
@@ -179,7 +179,7 @@
     def __init__(self, config: Config, operator: Controller | None, per_desk: int) -> None:
         self.program = Program(config, operator)
         back: Any = self.program.core.backends["binary"]
-        back.per_desk = per_desk
+        back.connections_per_exchange = per_desk
         self.core = self.program.core
         self._end = False
         self._inside, self._outside = socket.socketpair()
--- a/tests/test_live_etcd.py
+++ b/tests/test_live_etcd.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from arrowrail.wire.desk import binary
+from arrowrail.wire.binary import messages as binary
 from tests.live import LIMIT_S, Caller, Listening, operator, running, set_up, target, tell
 
 PREFIX = "/arrowrail/desks/"
--- a/tests/test_live_m3ua.py
+++ b/tests/test_live_m3ua.py
@@ -12,7 +12,7 @@
 import pytest
 
 from arrowrail.config.records import Controller
-from arrowrail.wire.desk import binary
+from arrowrail.wire.binary import messages as binary
 from arrowrail.wire.m3ua import causes
 from arrowrail.wire.m3ua import front as m3ua_front
 from arrowrail.wire.m3ua import link as m3ua_link
@@ -248,8 +248,8 @@
         caller, sip = client(run), Caller(run.port)
         caller.send(1, IAM, called="12", uui=b"o")
         sent = binary_peer.take(lambda m: m.kind == binary.SET_UP)
-        assert (sent.class_name, sent.number, sent.description) == ("check", "12", b"o")
-        tell(binary_peer, binary.ANSWER, f"{sent.call:016x}", description=b"a")
+        assert (sent.class_name, sent.number, sent.session_description) == ("check", "12", b"o")
+        tell(binary_peer, binary.ANSWER, f"{sent.call_id:016x}", session_description=b"a")
         assert caller.isup(ANM, 1).uui == b"a"
         sip.invite(CALL, dest=2, body=b"o")
         out = m3ua_peer.isup(IAM)
@@ -285,7 +285,7 @@
         peer.sock.sendall(half[:20])
         for cic in (2, 3, 4):
             caller.place(cic)
-        run.until(lambda: len([u for u in back.trunks[1].uses.values() if stream.unsent(u.call)]) == 3)
+        run.until(lambda: len([u for u in back.trunks[1].uses.values() if stream.is_unsent(u.call)]) == 3)
         bus.tell(news(3, line | {"state": "terminating"}))
         ended = sorted(caller.answer() for _ in range(3))  # at once: nothing had left
         assert ended == [(n, "refused") for n in (2, 3, 4)]
--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -17,10 +17,10 @@
 
 import pytest
 
+from arrowrail.wire.binary import messages as binary
+from arrowrail.wire.binary import pool as binary_pool
 from arrowrail.wire.bus import client as bus_client
-from arrowrail.wire.desk import binary
-from arrowrail.wire.desk import pool as desk_pool
-from arrowrail.wire.sip import front as sip_front
+from arrowrail.wire.sip import frontend as sip_frontend
 from tests.live import (
     SDP,
     BusStand,
@@ -48,16 +48,16 @@
         peer, caller = desk.desk(), Caller(run.port)
         caller.invite(A)
         sent = set_up(peer, A)
-        assert (sent.class_name, sent.number, sent.description) == ("check", "00000000000000ab", SDP)
-        assert 0 < sent.wait_ms <= 8000
+        assert (sent.class_name, sent.number, sent.session_description) == ("check", "00000000000000ab", SDP)
+        assert 0 < sent.timeout_ms <= 8000
         tell(peer, binary.PROGRESS, A)
-        tell(peer, binary.ANSWER, A, description=ANSWER)
+        tell(peer, binary.ANSWER, A, session_description=ANSWER)
         answer = caller.answer(A)
         assert (answer.status, answer.body) == (200, ANSWER)
         caller.send("ACK", A)
         tell(peer, binary.RELEASE, A, cause=16)
         assert caller.bye(A).headers["reason"] == "Q.850;cause=16"
-        assert peer.take(lambda m: m.kind == binary.RELEASE_HEARD).call == int(A, 16)
+        assert peer.take(lambda m: m.kind == binary.RELEASE_ACK).call_id == int(A, 16)
         tell(peer, binary.RELEASE, A, cause=16)  # told twice, as on a next connection
         caller.send("OPTIONS", B)
         first = caller.take()
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cause", "note", "wait_ms", "status"),
+    ("cause", "reason", "wait_ms", "status"),
     [
         (34, "processor_full", 1500, 503),
         (34, "tandem_refused", 0, 503),
@@ -75,7 +75,7 @@
     ],
 )
 def test_a_refusal_is_answered_at_once_with_when_to_come_back(
-    cause: int, note: str, wait_ms: int, status: int
+    cause: int, reason: str, wait_ms: int, status: int
 ) -> None:
     desk = Listening()
     with running(target("d1", desk.address, 1)) as run:
@@ -83,13 +83,13 @@
         caller.invite(A)
         for _ in range(4 if cause == 47 else 1):  # a fault is no reason not to try the same way again
             set_up(peer, A)
-            tell(peer, binary.RELEASE, A, cause=cause, note=note, told_wait_ms=wait_ms)
+            tell(peer, binary.RELEASE, A, cause=cause, reason=reason, retry_after_ms=wait_ms)
         answer = caller.answer(A)
         assert answer.status == status and int(answer.headers["x-later-ms"]) > 0
 
 
 @contextmanager
-def tandems(third: Listening) -> Iterator[tuple[Running, Peer[binary.DeskMessage], Caller]]:
+def tandems(third: Listening) -> Iterator[tuple[Running, Peer[binary.BinaryMessage], Caller]]:
     """The direct group to exchange 1 is full; calls there go over the tandems 2 or 3."""
     ports = [Listening(), Listening()]
     addresses = [*(p.address for p in ports), third.address]
@@ -125,7 +125,7 @@
         set_up(peer, A)
         assert caller.answer(A).status == 500
         assert release(peer, A).cause == 16
-        tell(peer, binary.ANSWER, A, description=ANSWER)
+        tell(peer, binary.ANSWER, A, session_description=ANSWER)
         assert release(peer, A).cause == 16
         caller.send("OPTIONS", B)
         assert caller.take().call_id == B
@@ -141,11 +141,11 @@
         assert caller.answer(A, "CANCEL").status == 200
         assert caller.answer(A).status == 487
         assert release(peer, A).cause == 16
-        tell(peer, binary.ANSWER, A, description=ANSWER)  # it had left before the release came
+        tell(peer, binary.ANSWER, A, session_description=ANSWER)  # it had left before the release came
         assert release(peer, A).cause == 16
         caller.invite(B)
         set_up(peer, B)
-        tell(peer, binary.ANSWER, B, description=ANSWER)
+        tell(peer, binary.ANSWER, B, session_description=ANSWER)
         assert caller.answer(B).status == 200
         caller.send("CANCEL", B)  # it had left before our answer came
         assert release(peer, B).cause == 16
@@ -181,7 +181,7 @@
         for call in (A, B, C):
             first.invite(call)
             set_up(peer, call)
-            tell(peer, binary.ANSWER, call, description=ANSWER)
+            tell(peer, binary.ANSWER, call, session_description=ANSWER)
             assert first.answer(call).status == 200
         other.send("BYE", A)
         assert other.answer(A, "BYE").status == 200 and release(peer, A).cause == 16
@@ -209,7 +209,7 @@
         peer, caller = desk.desk(), Caller(run.port)
         caller.invite(A)
         set_up(peer, A)
-        tell(peer, binary.ANSWER, A, description=ANSWER)
+        tell(peer, binary.ANSWER, A, session_description=ANSWER)
         caller.answer(A)
         caller.invite(B)
         set_up(peer, B)
@@ -218,7 +218,7 @@
         assert run.core.find(A) is not None  # no connection owns it
         assert release(peer, B).cause == 16  # it may have run
         set_up(peer, B)  # after the pause, as the one way there is as good as before
-        tell(peer, binary.ANSWER, B, description=ANSWER)
+        tell(peer, binary.ANSWER, B, session_description=ANSWER)
         assert caller.answer(B).status == 200
         tell(peer, binary.RELEASE, A, cause=16)
         assert caller.bye(A).call_id == A
@@ -257,11 +257,11 @@
             assert caller.answer(call, "BYE").status == 200
             if call == A:
                 release(peer, A)
-                tell(peer, binary.RELEASE_HEARD, A)
+                tell(peer, binary.RELEASE_ACK, A)
         connection = run.core.backends["binary"].pools[1].connections[0]  # type: ignore[attr-defined]
         run.until(lambda: set(connection.unheard) == {B})
         peer.reset()
-        assert release(desk.desk(), B).call == int(B, 16)
+        assert release(desk.desk(), B).call_id == int(B, 16)
         assert run.look(lambda: A not in connection.unheard)
 
 
@@ -296,7 +296,7 @@
                     len(run.core.request_handles) + len(run.core.ended_calls) > before
                 )
             )
-            queued = run.look(lambda: [c for c in calls if back.pools[1].connections[0].stream.unsent(c)])
+            queued = run.look(lambda: [c for c in calls if back.pools[1].connections[0].stream.is_unsent(c)])
             if len(queued) >= 2:
                 break
         assert len(queued) >= 2
@@ -307,9 +307,9 @@
         for call in started:  # what was begun is finished, and nothing follows it
             set_up(peer, call)
             tell(peer, binary.ANSWER, call)
-        tell(peer, binary.TEST, C)
+        tell(peer, binary.PROBE, C)
         following = peer.take()
-        assert following.kind == binary.TESTED and following.call == int(C, 16)
+        assert following.kind == binary.PROBE_RESULT and following.call_id == int(C, 16)
 
 
 def test_a_cancelled_set_up_behind_a_stalled_peer_never_leaves() -> None:
@@ -322,14 +322,14 @@
         run.until(lambda: link.stream is not None and not link.stream.connecting)
         link.stream.connecting = True  # as if the connection were still coming up
         caller.invite(A)
-        run.until(lambda: run.core.find(A) is not None and link.stream.unsent(A))
+        run.until(lambda: run.core.find(A) is not None and link.stream.is_unsent(A))
         caller.send("CANCEL", A)
         assert caller.answer(A).status == 487
-        assert not link.stream.unsent(A)
+        assert not link.stream.is_unsent(A)
         link.stream.connecting = False
         peer = desk.desk()
         caller.invite(B)
-        assert peer.take().call == int(B, 16)  # nothing of A was written before it
+        assert peer.take().call_id == int(B, 16)  # nothing of A was written before it
 
 
 def test_an_exchange_that_is_gone_cuts_what_stood_and_its_address_may_be_taken_over() -> None:
@@ -354,7 +354,7 @@
 def test_a_drained_connection_stays_until_its_calls_are_over_and_is_closed_then(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(desk_pool, "CALLS_BEFORE_NS", 0)  # no call of a process before this one
+    monkeypatch.setattr(binary_pool, "CALLS_BEFORE_NS", 0)  # no call of a process before this one
     desk, bus = Listening(), BusStand()
     with running(target("d1", desk.address, 1), bus=bus.port.address) as run:
         bus.accept()
@@ -369,7 +369,7 @@
         assert caller.answer(B).status == 503  # nothing new goes to it
         tell(peer, binary.RELEASE, A, cause=16)
         assert caller.bye(A).call_id == A
-        peer.take(lambda m: m.kind == binary.RELEASE_HEARD)
+        peer.take(lambda m: m.kind == binary.RELEASE_ACK)
         assert peer.closed()
         peer.sock.close()
         bus.tell(news(3, target("d1", desk.address, 1)))
@@ -475,7 +475,7 @@
         caller.invite(B, body=b"")
         assert caller.answer(B).status == 400
         caller.invite(C)
-        assert peer.take().call == int(C, 16)
+        assert peer.take().call_id == int(C, 16)
 
 
 def test_an_open_id_with_another_description_ends_in_one_answer_each() -> None:
@@ -490,8 +490,8 @@
         first.invite(A)  # sent again as it was: one answer for both
         first.invite(B, body=b"another")  # from its own caller: which is meant can't be told
         assert first.answer(B).status == 400 and release(peer, B).cause == 16
-        tell(peer, binary.ANSWER, A, description=ANSWER)
-        tell(peer, binary.ANSWER, B, description=ANSWER)
+        tell(peer, binary.ANSWER, A, session_description=ANSWER)
+        tell(peer, binary.ANSWER, B, session_description=ANSWER)
         assert first.answer(A).body == ANSWER
         other.invite(B)  # it is over
         assert other.answer(B).status == 503
@@ -506,7 +506,7 @@
 def test_who_says_nothing_or_half_a_message_is_closed_and_who_is_only_quiet_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(sip_front, "UNFINISHED_NS", 600_000_000)
+    monkeypatch.setattr(sip_frontend, "UNFINISHED_NS", 600_000_000)
     desk = Listening()
     with running(target("d1", desk.address, 1)) as run:
         peer, quiet, half = desk.desk(), Caller(run.port), Caller(run.port)
@@ -564,19 +564,19 @@
         run.until(lambda: run.core.decision_module.trunk_groups[1].size > 0)
         caller.invite(A)
         caller.invite(B)
-        found = {m.call: peer for peer in peers for m in [peer.take(lambda m: m.kind == binary.SET_UP)]}
+        found = {m.call_id: peer for peer in peers for m in [peer.take(lambda m: m.kind == binary.SET_UP)]}
         one, other = found[int(A, 16)], found[int(B, 16)]
         one.sock.sendall(spoilt)
         tell(one, binary.ANSWER, A)  # swallowed, or not to be trusted
         assert release(other, A).cause == 16  # what may have run there is let go of
         assert one.closed()
         tell(other, binary.ANSWER, "00000000000000ee")  # nobody's, ahead of a good one
-        tell(other, binary.ANSWER, B, description=ANSWER)
-        tell(other, binary.ANSWER, B, description=b"a second copy")
+        tell(other, binary.ANSWER, B, session_description=ANSWER)
+        tell(other, binary.ANSWER, B, session_description=b"a second copy")
         assert caller.answer(B).body == ANSWER
         fresh = desk.desk()
         set_up(fresh, A)  # the processor is not blamed: the same route again, after the pause
-        tell(fresh, binary.ANSWER, A, description=ANSWER)
+        tell(fresh, binary.ANSWER, A, session_description=ANSWER)
         assert caller.answer(A).body == ANSWER
         assert run.core.decision_module.endpoints[1].failures.total == 0.0
 
@@ -613,7 +613,7 @@
 
         def age() -> None:
             for caller in front.callers:
-                caller.idle_since -= 2 * sip_front.LEFT_IDLE_NS
+                caller.idle_since -= 2 * sip_frontend.LEFT_IDLE_NS
 
         run.look(age)
         fresh = [Caller(run.port) for _ in range(6)]  # nothing said yet
@@ -627,7 +627,7 @@
             """Between two turns: a set-up of the last holder but one has come and is not read yet."""
             holders[-2].invite(A)
             stays = next(c for c in front.callers if not c.open_calls)
-            wait_until(lambda: stays.stream.unread)
+            wait_until(lambda: stays.stream.has_unread_input)
             return front._close_idlest(), stays.stream.open
 
         assert run.look(close_one) == (True, True)
@@ -770,7 +770,7 @@
         spawned.process.send_signal(signal.SIGHUP)
         assert new.accept() == 3
         for call in (A, B):
-            tell(peer, binary.ANSWER, call, description=ANSWER)
+            tell(peer, binary.ANSWER, call, session_description=ANSWER)
             assert caller.answer(call).status == 200
         assert spawned.process.poll() is None
     finally:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -29,7 +29,7 @@
 from arrowrail.sidecar.listing import Listing
 from arrowrail.sidecar.main import Sidecar
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, Endpoint, EndpointEntry
-from arrowrail.wire.desk import binary
+from arrowrail.wire.binary import messages as binary
 from arrowrail.wire.m3ua.isup import IsupType
 from tests.live import SDP, Caller, Listening, M3uaPeer, release, set_up, tell, wait_until
 from tests.records.corpus import INVENTORY, LIFTS
@@ -297,7 +297,7 @@
         links = {name: b.exchanges[name].desk() for name in b.exchanges}
         invite(caller, "a" * 16, "0961")
         m = set_up(links["k-1"], "a" * 16)
-        assert (m.class_name, m.number) == ("alarm", "0961") and m.wait_ms <= 1300
+        assert (m.class_name, m.number) == ("alarm", "0961") and m.timeout_ms <= 1300
         tell(links["k-1"], binary.ANSWER, "a" * 16)
         assert caller.answer("a" * 16).status == 200
         invite(caller, "b" * 16, "0771")
@@ -431,7 +431,7 @@
         peer.send(1, IsupType.IAM, called="0961", category=11, uui=b"d")
         m = links["k-1"].take(lambda m: m.kind == binary.SET_UP)
         assert m.class_name == "alarm"
-        tell(links["k-1"], binary.ANSWER, f"{m.call:016x}", description=b"e")
+        tell(links["k-1"], binary.ANSWER, f"{m.call_id:016x}", session_description=b"e")
         assert peer.isup(IsupType.ANM, 1).uui == b"e"
         peer.send(2, IsupType.IAM, called="0771", category=11, uui=b"d")
         assert peer.isup(IsupType.REL, 2).cause == 1
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,17 +13,17 @@
 from arrowrail.state.endpoints import EndpointEntry, EndpointRegistry
 from arrowrail.state.slots import SlotTable
 from arrowrail.state.timers import TimerQueue
+from arrowrail.wire.binary import messages as binary
+from arrowrail.wire.binary.messages import BinaryError, BinaryMessage
+from arrowrail.wire.binary.outcomes import read_release
 from arrowrail.wire.bus import messages as bus
-from arrowrail.wire.desk import binary
-from arrowrail.wire.desk.binary import BinaryError, DeskMessage
-from arrowrail.wire.desk.outcomes import read_release
 from arrowrail.wire.etcd import messages as etcd
 from arrowrail.wire.m3ua import causes, isup
 from arrowrail.wire.m3ua import messages as m3ua
 from arrowrail.wire.m3ua.isup import Isup, IsupError, IsupType
 from arrowrail.wire.m3ua.messages import Error, Kind, M3uaError, Message, ProtocolData, Tag
 from arrowrail.wire.sip import messages as sip
-from arrowrail.wire.sip.front import read_invite
+from arrowrail.wire.sip.frontend import read_invite
 
 
 def both_ways(make: Callable[[], Callable[[bytes], Any]], data: bytes) -> list[Any]:
@@ -104,15 +104,17 @@
 @pytest.mark.parametrize(
     "message",
     [
-        DeskMessage(binary.SET_UP, 5, class_name="voice", number="7f", wait_ms=9, description=b"\0\xff"),
-        DeskMessage(binary.ANSWER, 2**64 - 1, description=b"d" * 16000),
-        DeskMessage(binary.RELEASE, 1, cause=34, note="processor_full", told_wait_ms=1500),
-        DeskMessage(binary.GROUP, 0, free=3.0, size=7.0),
-        DeskMessage(binary.TESTED, 0, cause=1),
-        DeskMessage(binary.RELEASE_HEARD, 8),
+        BinaryMessage(
+            binary.SET_UP, 5, class_name="voice", number="7f", timeout_ms=9, session_description=b"\0\xff"
+        ),
+        BinaryMessage(binary.ANSWER, 2**64 - 1, session_description=b"d" * 16000),
+        BinaryMessage(binary.RELEASE, 1, cause=34, reason="processor_full", retry_after_ms=1500),
+        BinaryMessage(binary.GROUP_STATE, 0, free=3.0, size=7.0),
+        BinaryMessage(binary.PROBE_RESULT, 0, cause=1),
+        BinaryMessage(binary.RELEASE_ACK, 8),
     ],
 )
-def test_binary_round_trip(message: DeskMessage) -> None:
+def test_binary_round_trip(message: BinaryMessage) -> None:
     data = binary.encode(message)
     assert both_ways(lambda: binary.BinaryParser().feed, data * 2) == [message, message]
     assert int.from_bytes(data[:2], "big") == len(data) - 2
@@ -135,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cause", "note", "wait", "outcome", "number", "stood"),
+    ("cause", "reason", "wait", "outcome", "number", "stood"),
     [
         (34, "group_full", 0, "turned_away", 1, "served"),
         (34, "tandem_refused", 0, "turned_away", 2, "served"),
@@ -148,8 +150,8 @@
         (16, "", 0, "server_error", 0, "served"),
     ],
 )
-def test_binary_releases(cause: int, note: str, wait: int, outcome: str, number: int, stood: str) -> None:
-    ended = read_release(DeskMessage(binary.RELEASE, 1, cause=cause, note=note, told_wait_ms=wait))
+def test_binary_releases(cause: int, reason: str, wait: int, outcome: str, number: int, stood: str) -> None:
+    ended = read_release(BinaryMessage(binary.RELEASE, 1, cause=cause, reason=reason, retry_after_ms=wait))
     assert (ended.before_answer, ended.cause, ended.after_answer) == (outcome, number, stood)
 
 
