--- a/arrowrail/wire/bad_input.py
+++ b/arrowrail/wire/bad_input.py
@@ -1,4 +1,4 @@
-"""An age limit on messages that have begun and not ended, and log lines that a bad peer can't multiply."""
+"""Protection against faulty peers: a timeout for incomplete messages and rate-limited log warnings."""
 
 from __future__ import annotations
 
@@ -10,43 +10,43 @@
 from arrowrail.loop import Loop
 from arrowrail.state.timers import Timer
 
-LOG_PAUSE_NS = 5_000 * MS
+LOG_INTERVAL_NS = 5_000 * MS
 
 
 class MessageTimeout:
-    """Runs ``late`` if a message stays unfinished for too long, however its bytes trickle in."""
+    """Calls ``on_timeout`` if a message stays incomplete for too long, even if bytes keep trickling in."""
 
-    __slots__ = ("_deadline", "_late", "_limit", "_loop")
+    __slots__ = ("_loop", "_on_timeout", "_timeout_ns", "_timer")
 
-    def __init__(self, loop: Loop, limit_ns: int, late: Callable[[], None]) -> None:
-        self._loop, self._limit, self._late = loop, limit_ns, late
-        self._deadline: Timer | None = None
+    def __init__(self, loop: Loop, timeout_ns: int, on_timeout: Callable[[], None]) -> None:
+        self._loop, self._timeout_ns, self._on_timeout = loop, timeout_ns, on_timeout
+        self._timer: Timer | None = None
 
-    def update(self, pending: bool, finished: bool) -> None:
-        """After each read: whether a message is begun, and whether any has been finished by it."""
-        if self._deadline is not None and (finished or not pending):
+    def update(self, pending: bool, completed: bool) -> None:
+        """Called after each read, with whether a message is incomplete and whether one was completed."""
+        if self._timer is not None and (completed or not pending):
             self.cancel()
-        if pending and self._deadline is None:
-            self._deadline = self._loop.timers.schedule(self._loop.now + self._limit, self._late)
+        if pending and self._timer is None:
+            self._timer = self._loop.timers.schedule(self._loop.now + self._timeout_ns, self._on_timeout)
 
     def cancel(self) -> None:
-        if self._deadline is not None:
-            self._deadline.cancel()
-            self._deadline = None
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
 
 
 class RateLimitedWarning:
-    """Bad input is counted; a line says how much there was, once in a while."""
+    """Counts bad input and logs one warning per ``LOG_INTERVAL_NS``, with the count since the last one."""
 
-    __slots__ = ("_loop", "_next", "total", "unlogged")
+    __slots__ = ("_loop", "_next_log_ns", "total", "unlogged")
 
     def __init__(self, loop: Loop) -> None:
-        self._loop, self._next = loop, 0
+        self._loop, self._next_log_ns = loop, 0
         self.total = self.unlogged = 0
 
-    def record(self, what: str) -> None:
+    def record(self, text: str) -> None:
         self.total += 1
         self.unlogged += 1
-        if self._loop.now >= self._next:
-            logger.warning("{} ({} like it since the last such line)", what, self.unlogged)
-            self._next, self.unlogged = self._loop.now + LOG_PAUSE_NS, 0
+        if self._loop.now >= self._next_log_ns:
+            logger.warning("{} ({} such events since the last warning)", text, self.unlogged)
+            self._next_log_ns, self.unlogged = self._loop.now + LOG_INTERVAL_NS, 0
--- a/arrowrail/wire/binary/__init__.py
+++ b/arrowrail/wire/binary/__init__.py
@@ -1,1 +1,1 @@
-"""The desk exchanges' binary protocol: messages and the back that owns connections."""
+"""The binary protocol of desk exchanges: messages, connection pools and the backend that owns them."""
--- a/arrowrail/wire/binary/backend.py
+++ b/arrowrail/wire/binary/backend.py
@@ -1,4 +1,4 @@
-"""The back toward the desk exchanges that speak the binary protocol: a pool of connections to each."""
+"""The backend for exchanges that speak the binary protocol; it keeps a connection pool per endpoint."""
 
 from __future__ import annotations
 
@@ -16,51 +16,56 @@
 from arrowrail.wire.binary.connection import ServerConnection
 from arrowrail.wire.binary.messages import BinaryMessage
 from arrowrail.wire.binary.outcomes import read_release
-from arrowrail.wire.binary.pool import MOST_PENDING, ConnectionPool
+from arrowrail.wire.binary.pool import MAX_PENDING, ConnectionPool
 
-PROBE_CALLS = 0xF0BE << 48  # the ids of tests lie above it
-SWEEP_NS = 150 * MS  # between two looks for servers that have fallen silent
+PROBE_ID_BASE = 0xF0BE << 48  # call ids of probes start here
+CHECK_INTERVAL_NS = 150 * MS  # between two checks for servers that no longer respond
 
 
 class BinaryBackend:
+    """Sets up, cancels and releases calls at endpoints over the binary protocol."""
+
     def __init__(
         self, loop: Loop, core: Core, connect_timeout_ns: int, connections_per_exchange: int = 1
     ) -> None:
         self.loop, self.core, self.connect_timeout_ns = loop, core, connect_timeout_ns
         self.connections_per_exchange = connections_per_exchange
         self.pools: dict[int, ConnectionPool] = {}
-        self.unreadable_seen = RateLimitedWarning(loop)
-        self.probes: dict[int, tuple[Callable[[bool], None], Timer]] = {}  # tests that are out
-        self._tests = 0
+        self.unreadable_warning = RateLimitedWarning(loop)
+        self.pending_probes: dict[int, tuple[Callable[[bool], None], Timer]] = {}
+        self._probe_count = 0
         self.started_ns = loop.now
         core.backends["binary"] = self
-        self.loop.timers.schedule(self.loop.now + SWEEP_NS, self._sweep)
+        self.loop.timers.schedule(self.loop.now + CHECK_INTERVAL_NS, self._check_servers)
 
-    def _sweep(self) -> None:
+    def _check_servers(self) -> None:
         for pool in list(self.pools.values()):
             pool.check_server()
-        self.loop.timers.schedule(self.loop.now + SWEEP_NS, self._sweep)
+        self.loop.timers.schedule(self.loop.now + CHECK_INTERVAL_NS, self._check_servers)
 
-    def report_unreadable(self, endpoint: Endpoint, why: str) -> None:
-        self.unreadable_seen.record(f"spoilt message from {endpoint.entry.uid}: {why}")
+    def report_unreadable(self, endpoint: Endpoint, reason: str) -> None:
+        self.unreadable_warning.record(f"unreadable message from {endpoint.entry.uid}: {reason}")
 
     # --- From the core ----------------------------------------------------------------------------------
 
     def endpoint_changed(self, endpoint: Endpoint) -> None:
-        """Connect ahead of the first set-up: the connection also tells the state of the group."""
+        """Opens, drains or closes the connections to an endpoint according to its state.
+
+        Connections open before the first set-up, because the server reports its trunk group state on them.
+        """
         state, known = endpoint.entry.state, self.pools.get(endpoint.endpoint_id)
         if state == IN_SERVICE:
             self._pool(endpoint).open()
         elif known is not None:
-            self._withdraw(known)
+            self._discard_queued_set_ups(known)
             if state == TERMINATED:
                 known.close()
                 del self.pools[endpoint.endpoint_id]
         elif state == TERMINATING:
-            # First heard of while it drains, as after a restart: calls of before may stand there, and their
-            # ends are told on a connection.
+            # The endpoint is first seen while it drains, as after a restart of the controller: it may still
+            # hold calls of the previous process, and it reports their releases on a connection.
             pool = self._pool(endpoint)
-            pool.unknown_calls = True
+            pool.may_hold_unknown_calls = True
             pool.open()
 
     def _pool(self, endpoint: Endpoint) -> ConnectionPool:
@@ -71,102 +76,111 @@
             )
         return pool
 
-    def _withdraw(self, pool: ConnectionPool) -> None:
-        """Guards the drain rule: what is still queued would only be written once the peer reads again."""
+    def _discard_queued_set_ups(self, pool: ConnectionPool) -> None:
+        """Fails set-ups that are still queued: a draining endpoint must not receive them later.
+
+        Without this they would be written as soon as the peer reads again.
+        """
         for connection in pool.connections:
-            for call in list(connection.waiting):
+            for call_id in list(connection.pending_set_ups):
                 if (
                     connection.stream is None
-                    or connection.stream.discard_unsent(call)
+                    or connection.stream.discard_unsent(call_id)
                     or connection.stream.connecting
                 ):
-                    del connection.waiting[call]
-                    self.core.attempt_failed(connection.endpoint, call, "not_sent")
+                    del connection.pending_set_ups[call_id]
+                    self.core.attempt_failed(connection.endpoint, call_id, "not_sent")
 
-    def set_up(self, endpoint: Endpoint, offer: SetUpParams, wait_ns: int) -> None:
-        if endpoint.entry.state == TERMINATED:  # its connections are closed for good
-            self.core.attempt_failed(endpoint, offer.call_id, "not_sent")
+    def set_up(self, endpoint: Endpoint, params: SetUpParams, timeout_ns: int) -> None:
+        if endpoint.entry.state == TERMINATED:  # its connections are closed and not opened again
+            self.core.attempt_failed(endpoint, params.call_id, "not_sent")
             return
         message = BinaryMessage(
-            binary.SET_UP, int(offer.call_id, 16), class_name=offer.class_name, number=offer.called_number,
-            timeout_ms=max(1, wait_ns // MS), session_description=offer.session_description,
+            binary.SET_UP, int(params.call_id, 16), class_name=params.class_name, number=params.called_number,
+            timeout_ms=max(1, timeout_ns // MS), session_description=params.session_description,
         )  # fmt: skip
-        self._pool(endpoint).least_loaded(offer.call_id).send_set_up(offer.call_id, binary.encode(message))
+        self._pool(endpoint).least_loaded(params.call_id).send_set_up(params.call_id, binary.encode(message))
 
-    def cancel_set_up(self, endpoint: Endpoint, call: str) -> None:
+    def cancel_set_up(self, endpoint: Endpoint, call_id: str) -> None:
+        """Discards the set-up if it is still queued, otherwise sends a release for it."""
         pool = self.pools.get(endpoint.endpoint_id)
-        connection = pool.holding(call) if pool is not None else None
+        connection = pool.find_connection(call_id) if pool is not None else None
         if connection is None:
             return
-        del connection.waiting[call]
-        connection.pool.given_up[call] = connection
-        if len(connection.pool.given_up) > MOST_PENDING:
-            del connection.pool.given_up[next(iter(connection.pool.given_up))]
-        if connection.stream is not None and not connection.stream.discard_unsent(call):
-            # On the set-up's own connection: on another one it could overtake it.
+        del connection.pending_set_ups[call_id]
+        connection.pool.cancelled_set_ups[call_id] = connection
+        if len(connection.pool.cancelled_set_ups) > MAX_PENDING:
+            del connection.pool.cancelled_set_ups[next(iter(connection.pool.cancelled_set_ups))]
+        if connection.stream is not None and not connection.stream.discard_unsent(call_id):
+            # Sent on the connection of the set-up: on another one the release could overtake it.
             connection.send_release(
-                call, binary.encode(BinaryMessage(binary.RELEASE, int(call, 16), cause=16))
+                call_id, binary.encode(BinaryMessage(binary.RELEASE, int(call_id, 16), cause=16))
             )
 
-    def release(self, endpoint: Endpoint, call: str, cause: int) -> None:
+    def release(self, endpoint: Endpoint, call_id: str, cause: int) -> None:
         pool = self.pools.get(endpoint.endpoint_id)
         if pool is not None:
-            pool.release(call, cause)
+            pool.release(call_id, cause)
 
-    def probe(self, endpoint: Endpoint, fence: str, wait_ns: int, done: Callable[[bool], None]) -> bool:
-        """A test of the exchange, fenced by an epoch; ``done`` hears once whether it passed.
+    def probe(
+        self, endpoint: Endpoint, fencing_token: str, timeout_ns: int, on_result: Callable[[bool], None]
+    ) -> bool:
+        """Sends a probe with a fencing token; ``on_result`` is called once, with whether it succeeded.
 
-        False: no connection is up, so that nothing left.
+        Returns false if no connection is up, so that nothing was sent.
         """
         pool = self.pools.get(endpoint.endpoint_id)
         connection = pool.least_loaded() if pool is not None else None
         if connection is None or not connection.up or connection.stream is None:
             return False
-        self._tests += 1
-        call = PROBE_CALLS | self._tests
-        late = self.loop.timers.schedule(self.loop.now + wait_ns, lambda: self._untested(call))
-        self.probes[call] = (done, late)
-        connection.stream.send(binary.encode(BinaryMessage(binary.PROBE, call, number=fence)))
+        self._probe_count += 1
+        probe_id = PROBE_ID_BASE | self._probe_count
+        timer = self.loop.timers.schedule(self.loop.now + timeout_ns, lambda: self._probe_timed_out(probe_id))
+        self.pending_probes[probe_id] = (on_result, timer)
+        connection.stream.send(binary.encode(BinaryMessage(binary.PROBE, probe_id, number=fencing_token)))
         return True
 
-    def _untested(self, call: int) -> None:
-        probed = self.probes.pop(call, None)
-        if probed is not None:
-            probed[0](False)
+    def _probe_timed_out(self, probe_id: int) -> None:
+        pending = self.pending_probes.pop(probe_id, None)
+        if pending is not None:
+            pending[0](False)
 
-    # --- From the desk exchanges ------------------------------------------------------------------------
+    # --- From the servers -------------------------------------------------------------------------------
 
-    def message(self, connection: ServerConnection, message: BinaryMessage) -> None:
-        """What a desk exchange says on a connection."""
-        call = f"{message.call_id:016x}"
+    def handle_message(self, connection: ServerConnection, message: BinaryMessage) -> None:
+        call_id = f"{message.call_id:016x}"
         if message.kind in (binary.ANSWER, binary.RELEASE):
-            holder = connection.pool.holding(call)
-            if holder not in (None, connection):
-                # What concerns a set-up comes on its own connection: this is late, of an earlier attempt.
-                logger.debug("late message of kind {} for call {}", message.kind, call)
+            owner = connection.pool.find_connection(call_id)
+            if owner not in (None, connection):
+                # Replies to a set-up come on its own connection: this one belongs to an earlier attempt.
+                logger.debug(
+                    "ignoring message of kind {} for call {}: its set-up is pending on another connection",
+                    message.kind,
+                    call_id,
+                )
                 return
-            connection.waiting.pop(call, None)
-            set_up_ns = self.core.attempt_sent_ns(call)
-            if set_up_ns:
-                connection.pool.monitor.call_confirmed(self.loop.now, set_up_ns)
+            connection.pending_set_ups.pop(call_id, None)
+            sent_ns = self.core.attempt_sent_ns(call_id)
+            if sent_ns:
+                connection.pool.monitor.call_confirmed(self.loop.now, sent_ns)
         if message.kind == binary.ANSWER:
-            self.core.endpoint_answered(connection.endpoint, call, message.session_description)
+            self.core.endpoint_answered(connection.endpoint, call_id, message.session_description)
         elif message.kind == binary.RELEASE:
-            self.core.endpoint_released(connection.endpoint, call, read_release(message), message.cause)
+            self.core.endpoint_released(connection.endpoint, call_id, read_release(message), message.cause)
             if connection.stream is not None:
                 connection.stream.send(binary.encode(BinaryMessage(binary.RELEASE_ACK, message.call_id)))
         elif message.kind == binary.RELEASE_ACK:
-            connection.unheard.pop(call, None)
+            connection.unacknowledged_releases.pop(call_id, None)
         elif message.kind == binary.GROUP_STATE and message.size >= 0:
             self.core.trunk_group_changed(connection.endpoint, message.free, message.size)
         elif message.kind == binary.PROBE_RESULT:
-            probed = self.probes.pop(message.call_id, None)
-            if probed is not None:
-                probed[1].cancel()
-                probed[0](message.cause == 1)
+            pending = self.pending_probes.pop(message.call_id, None)
+            if pending is not None:
+                pending[1].cancel()
+                pending[0](message.cause == 1)
         elif message.kind == binary.PROBE and connection.stream is not None:
             connection.stream.send(
                 binary.encode(BinaryMessage(binary.PROBE_RESULT, message.call_id, cause=1))
             )
         elif message.kind == binary.SET_UP:
-            raise binary.BinaryError("a set-up from a desk exchange")
+            raise binary.BinaryError("a server must not send set-ups")
--- a/arrowrail/wire/binary/connection.py
+++ b/arrowrail/wire/binary/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a desk exchange: in use, on its way out, or opened to see whether the server is there."""
+"""Connections to an endpoint: for regular use, while closing, and for reachability checks."""
 
 from __future__ import annotations
 
@@ -21,46 +21,48 @@
 if TYPE_CHECKING:
     from arrowrail.wire.binary.pool import ConnectionPool
 
-UNHEARD_NS = 8_000 * MS  # how long a release that was written counts as possibly lost with its connection
-MOST_UNHEARD = 200  # of one connection
-UNFINISHED_NS = 500 * MS  # a message has 16 KiB at most: the rest of one is there within two round trips
+# A release written within this time before its connection broke may be lost: it is sent again.
+RELEASE_RESEND_WINDOW_NS = 8_000 * MS
+MAX_UNACKNOWLEDGED = 200  # releases remembered per connection
+# A message has 16 KiB at most, so its remainder arrives within two round trips.
+MESSAGE_TIMEOUT_NS = 500 * MS
 
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """A release of a call toward the server; ``written_ns`` 0: it waits for a connection."""
+    """A release of a call toward the server; ``written_ns`` is 0 while it waits for a connection."""
 
-    call: str
+    call_id: str
     data: bytes
     written_ns: int = 0
 
 
 class ServerConnection:
-    """One connection to a desk exchange, and the set-ups on it that are unanswered."""
+    """One connection to an endpoint and the unanswered set-ups on it; reconnects after a failure."""
 
     __slots__ = (
         "endpoint",
-        "greeted",
+        "has_received",
+        "message_timeout",
         "opened_ns",
         "parser",
+        "pending_set_ups",
         "pool",
-        "retry",
+        "reconnect",
         "stream",
-        "unfinished",
-        "unheard",
-        "waiting",
+        "unacknowledged_releases",
     )
 
     def __init__(self, pool: ConnectionPool) -> None:
-        self.opened_ns = 0  # when the present connection came up
-        self.greeted = False  # whether anything came on it
+        self.opened_ns = 0  # when the current connection came up
+        self.has_received = False  # whether any data came on the current connection
         self.pool, self.endpoint = pool, pool.endpoint
         self.stream: Stream | None = None
         self.parser = binary.BinaryParser()
-        self.waiting: dict[str, bytes] = {}  # unanswered set-ups by call, queued or sent
-        self.unheard: dict[str, Release] = {}  # releases written here that the server has not confirmed
-        self.retry = ReconnectTimer(pool.backend.loop, self.open)
-        self.unfinished = MessageTimeout(pool.backend.loop, UNFINISHED_NS, self._stalled)
+        self.pending_set_ups: dict[str, bytes] = {}  # unanswered set-ups by call id, queued or sent
+        self.unacknowledged_releases: dict[str, Release] = {}  # written here, not confirmed by the server
+        self.reconnect = ReconnectTimer(pool.backend.loop, self.open)
+        self.message_timeout = MessageTimeout(pool.backend.loop, MESSAGE_TIMEOUT_NS, self._on_message_timeout)
 
     @property
     def up(self) -> bool:
@@ -69,97 +71,97 @@
     def open(self) -> None:
         if self.stream is not None or not self.pool.in_use:
             return
-        self.retry.cancel()
+        self.reconnect.cancel()
         self.parser = binary.BinaryParser()
         try:
             self.stream = connect(self.pool.backend.loop, self, self.endpoint.entry.address)
-        except (OSError, ValueError) as why:  # no descriptor left, or no address
-            logger.warning("no connection to {}: {}", self.endpoint.entry.uid, why)
-            error = why if isinstance(why, OSError) else OSError(errno.EINVAL, str(why))
+        except (OSError, ValueError) as failure:  # out of descriptors, or the address is not valid
+            logger.warning("cannot connect to {}: {}", self.endpoint.entry.uid, failure)
+            error = failure if isinstance(failure, OSError) else OSError(errno.EINVAL, str(failure))
             self.pool.backend.loop.timers.schedule(self.pool.backend.loop.now, partial(self.lost, error))
             return
-        self.retry.start_connect_timeout(self.pool.backend.connect_timeout_ns, self.stream)
+        self.reconnect.start_connect_timeout(self.pool.backend.connect_timeout_ns, self.stream)
 
     def connected(self) -> None:
-        self.opened_ns, self.greeted = self.pool.backend.loop.now, False
+        self.opened_ns, self.has_received = self.pool.backend.loop.now, False
         self.pool.monitor.connected(self.opened_ns)
-        self.retry.reset_backoff()
+        self.reconnect.reset_backoff()
         self.pool.flush_releases(self)
 
     def received(self, data: bytes) -> None:
         now, monitor = self.pool.backend.loop.now, self.pool.monitor
         monitor.data_received(now, self.opened_ns)
-        if not self.greeted:
-            self.greeted = True
+        if not self.has_received:
+            self.has_received = True
             monitor.greeting_received(now, self.opened_ns)
         try:
-            found = self.parser.feed(data)
-            for message in found:
-                self.pool.backend.message(self, message)
-            self.unfinished.update(self.parser.pending, bool(found))
-        except binary.BinaryError as wrong:
-            self._unreadable(str(wrong))
-
-    def _stalled(self) -> None:
-        # Guards against a message that claims to be longer than it is: all that follows, answers and releases
-        # of other calls too, would be swallowed as its rest for as long as the connection stays open.
-        self._unreadable(f"stopped in the middle of a message: {self.parser.head}")
-
-    def _unreadable(self, why: str) -> None:
-        self.pool.backend.report_unreadable(self.endpoint, why)
+            messages = self.parser.feed(data)
+            for message in messages:
+                self.pool.backend.handle_message(self, message)
+            self.message_timeout.update(self.parser.pending, bool(messages))
+        except binary.BinaryError as error:
+            self._fail_unreadable(str(error))
+
+    def _on_message_timeout(self) -> None:
+        # Guards against a length field that is larger than the message: all that follows, including answers
+        # and releases of other calls, would be consumed as its remainder while the connection is open.
+        self._fail_unreadable(f"message timed out incomplete, starting with {self.parser.pending_hex}")
+
+    def _fail_unreadable(self, reason: str) -> None:
+        self.pool.backend.report_unreadable(self.endpoint, reason)
         if self.stream is not None:
-            self.stream.fail(OSError(errno.EPROTO, why))
+            self.stream.fail(OSError(errno.EPROTO, reason))
 
-    def lost(self, why: OSError | None) -> None:
+    def lost(self, error: OSError | None) -> None:
         stream, self.stream = self.stream, None
-        self.unfinished.cancel()
-        waiting, self.waiting = self.waiting, {}
-        self._log_loss(stream is not None and not stream.connecting, why, len(waiting))
+        self.message_timeout.cancel()
+        pending, self.pending_set_ups = self.pending_set_ups, {}
+        self._log_disconnect(stream is not None and not stream.connecting, error, len(pending))
         if stream is not None:
-            # Guards against a call that its caller ended standing on beyond a broken connection: what was
-            # written may have gone down with it.
-            since = self.pool.backend.loop.now - UNHEARD_NS
-            unheard, self.unheard = self.unheard, {}
-            self.pool.queue_releases([r for r in unheard.values() if r.written_ns > since])
+            # Guards against a call staying up at the server after its caller has ended it: a release that
+            # was written may be lost with the connection.
+            since = self.pool.backend.loop.now - RELEASE_RESEND_WINDOW_NS
+            releases, self.unacknowledged_releases = self.unacknowledged_releases, {}
+            self.pool.queue_releases([r for r in releases.values() if r.written_ns > since])
         if self.endpoint.entry.state != TERMINATED:
-            self.retry.schedule()
-            self.pool.connection_failed(why)
+            self.reconnect.schedule()
+            self.pool.connection_failed(error)
         never_up = stream is None or stream.connecting
-        for call, data in waiting.items():
-            unsent = stream is None or never_up or stream.is_unsent(call)
-            self.pool.interrupted(call, data, never_up, unsent)
+        for call_id, data in pending.items():
+            unsent = stream is None or never_up or stream.is_unsent(call_id)
+            self.pool.set_up_interrupted(call_id, data, never_up, unsent)
 
-    def _log_loss(self, was_up: bool, why: OSError | None, waiting: int) -> None:
+    def _log_disconnect(self, was_up: bool, error: OSError | None, pending: int) -> None:
         name = "server.connection_lost" if was_up else "server.connect_failed"
-        self.pool.backend.core.metrics.count(name, disconnect_reason(why))
+        self.pool.backend.core.metrics.count(name, disconnect_reason(error))
         event(name, "{server}: {reason}, {waiting} unanswered set-ups on the connection", level="DEBUG",
-              server=self.endpoint.entry.uid, reason=disconnect_reason(why), waiting=waiting)  # fmt: skip
+              server=self.endpoint.entry.uid, reason=disconnect_reason(error), waiting=pending)  # fmt: skip
 
-    def send_set_up(self, call: str, data: bytes) -> None:
-        self.waiting[call] = data
+    def send_set_up(self, call_id: str, data: bytes) -> None:
+        self.pending_set_ups[call_id] = data
         self.open()
         if self.stream is not None:
-            self.stream.send(data, call)
+            self.stream.send(data, call_id)
 
-    def send_release(self, call: str, data: bytes) -> None:
-        """Write a release; it is remembered until the server confirms it, which it need not do."""
+    def send_release(self, call_id: str, data: bytes) -> None:
+        """Writes a release and remembers it until the server confirms it, which the server may omit."""
         if self.stream is None:
             return
-        self.unheard[call] = Release(call, data, self.pool.backend.loop.now)
-        if len(self.unheard) > MOST_UNHEARD:
-            del self.unheard[next(iter(self.unheard))]
+        self.unacknowledged_releases[call_id] = Release(call_id, data, self.pool.backend.loop.now)
+        if len(self.unacknowledged_releases) > MAX_UNACKNOWLEDGED:
+            del self.unacknowledged_releases[next(iter(self.unacknowledged_releases))]
         self.stream.send(data)
 
     def close(self) -> None:
-        self.retry.cancel()
-        self.unfinished.cancel()
+        self.reconnect.cancel()
+        self.message_timeout.cancel()
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.close()
 
 
 class ClosingConnection(ServerConnection):
-    """Takes over a connection that is no longer used: half-closed, and read until the server closes it."""
+    """Takes over the stream of a connection that is no longer used, half-closed and read until it ends."""
 
     __slots__ = ()
 
@@ -168,64 +170,63 @@
         if stream is None:
             return
         self.stream, self.parser = stream, connection.parser
-        self.opened_ns, self.greeted = connection.opened_ns, connection.greeted
-        stream.owner = self
-        connection.unfinished.cancel()
+        self.opened_ns, self.has_received = connection.opened_ns, connection.has_received
+        stream.handler = self
+        connection.message_timeout.cancel()
         stream.half_close()
 
-    def lost(self, why: OSError | None) -> None:
+    def lost(self, error: OSError | None) -> None:
         self.stream = None
-        self.unfinished.cancel()
+        self.message_timeout.cancel()
 
 
 class ReachabilityCheck(ServerConnection):
-    """One more connection, tried while calls stand and the server says nothing: does it still come up?
+    """An additional connection that tests whether a silent server with established calls still accepts one.
 
-    It carries no set-ups.  Once it is up it is read for a while, since a server may send on it what it still
-    has to tell, and then closed in good order.
+    It carries no set-ups.  Once up it is read for a while, since the server may report pending releases on
+    it, and is then closed gracefully.
     """
 
-    __slots__ = ("begun_ns",)
+    __slots__ = ("started_ns",)
 
     def __init__(self, pool: ConnectionPool) -> None:
         super().__init__(pool)
-        self.begun_ns = pool.backend.loop.now
+        self.started_ns = pool.backend.loop.now
 
     @property
     def pending(self) -> bool:
-        """Whether it has brought nothing yet, and still may."""
-        return not self.greeted and self.stream is not None and not self.stream.closing
+        """Whether the check has no result yet."""
+        return not self.has_received and self.stream is not None and not self.stream.closing
 
     def open(self) -> None:
         super().open()
         if self.stream is not None:
-            self.retry.cancel()
-            self.retry.start_connect_timeout(CHECK_TIMEOUT_NS, self.stream)
+            self.reconnect.cancel()
+            self.reconnect.start_connect_timeout(CHECK_TIMEOUT_NS, self.stream)
 
     def connected(self) -> None:
         super().connected()
         loop = self.pool.backend.loop
-        loop.timers.schedule(loop.now + GREETING_TIMEOUT_NS, self._done)
+        loop.timers.schedule(loop.now + GREETING_TIMEOUT_NS, self._finish)
 
-    def _done(self) -> None:
-        self.unfinished.cancel()
+    def _finish(self) -> None:
+        self.message_timeout.cancel()
         if self.stream is None:
             return
-        if not self.greeted:
+        if not self.has_received:
             self.pool.monitor.greeting_missing(self.pool.backend.loop.now)
         self.stream.half_close()
 
-    def lost(self, why: OSError | None) -> None:
-        was_up, was_left = self.up, self.stream is not None and self.stream.closing
+    def lost(self, error: OSError | None) -> None:
+        was_up, was_closing = self.up, self.stream is not None and self.stream.closing
         self.stream = None
-        self.unfinished.cancel()
-        self.retry.cancel()
-        self._log_loss(was_up, why, 0)
+        self.message_timeout.cancel()
+        self.reconnect.cancel()
+        self._log_disconnect(was_up, error, 0)
         if self in self.pool.checks:
             self.pool.checks.remove(self)
         if not was_up:
-            self.pool.check_failed(why)
-        elif not self.greeted and not was_left:
-            self.pool.monitor.connection_limit_reached(
-                self.pool.backend.loop.now
-            )  # it took the connection, and ended it
+            self.pool.check_failed(error)
+        elif not self.has_received and not was_closing:
+            # The server accepted the connection and closed it at once.
+            self.pool.monitor.connection_limit_reached(self.pool.backend.loop.now)
--- a/arrowrail/wire/binary/messages.py
+++ b/arrowrail/wire/binary/messages.py
@@ -1,4 +1,4 @@
-"""The desk exchanges' binary messages: bytes to one small value and back."""
+"""Parser and encoder of the binary protocol's messages."""
 
 from __future__ import annotations
 
@@ -7,17 +7,20 @@
 
 MAX_MESSAGE = 16 * 1024
 SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, GROUP_STATE, PROBE, PROBE_RESULT = 1, 6, 9, 12, 16, 43, 52, 53
-P_CLASS, P_WAIT, P_NUMBER, P_NOTE, P_TOLD_WAIT, P_GROUP, P_CAUSE, P_DESCRIPTION = (
+(
+    PARAM_CLASS, PARAM_TIMEOUT, PARAM_NUMBER, PARAM_REASON, PARAM_RETRY_AFTER, PARAM_GROUP, PARAM_CAUSE,
+    PARAM_DESCRIPTION,
+) = (
     129, 132, 141, 150, 153, 156, 171, 174,
 )  # fmt: skip
 KINDS = (SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, GROUP_STATE, PROBE, PROBE_RESULT)
-MAX_FIGURE = 10**9  # far above any wait in milliseconds, or any group
-HEAD = struct.Struct(">HBQ")
-PARAMETER = struct.Struct(">BH")
+MAX_NUMBER = 10**9  # far above any time in milliseconds and any group size
+HEADER = struct.Struct(">HBQ")  # length of the rest, kind, call id
+PARAMETER_HEADER = struct.Struct(">BH")  # code, length of the value
 
 
 class BinaryError(Exception):
-    """What came is no message: nothing behind it on the connection can be trusted."""
+    """The input is not a valid message; nothing after it on the connection can be parsed reliably."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,15 +30,17 @@
     cause: int = 0
     class_name: str = ""
     number: str = ""
-    timeout_ms: int = 0  # how long the controller will wait
+    timeout_ms: int = 0  # how long the controller waits for the answer
     reason: str = ""
-    retry_after_ms: int = 0  # at a full processor
-    free: float = -1.0  # circuits of the group, in its state
-    size: float = -1.0
+    retry_after_ms: int = 0  # of a release because the processor is full
+    free: float = -1.0  # free circuits of the trunk group
+    size: float = -1.0  # circuits of the trunk group; below 0: not reported
     session_description: bytes = b""
 
 
 class BinaryParser:
+    """Incremental parser: takes bytes as they arrive and returns complete messages."""
+
     __slots__ = ("_buffer",)
 
     def __init__(self) -> None:
@@ -43,96 +48,98 @@
 
     @property
     def pending(self) -> bool:
-        """Whether a message has begun that is not whole yet."""
+        """Whether the buffer holds an incomplete message."""
         return bool(self._buffer)
 
     @property
-    def head(self) -> str:
-        """How that message begins, for a log line."""
+    def pending_hex(self) -> str:
+        """The first 16 bytes of the incomplete message, for a log line."""
         return self._buffer[:16].hex()
 
     def feed(self, data: bytes) -> list[BinaryMessage]:
-        """Whole messages so far; ``BinaryError`` on the first that is none."""
+        """Returns the complete messages; raises ``BinaryError`` at the first invalid one."""
         self._buffer += data
-        found = []
+        messages = []
         while len(self._buffer) >= 2:
             length = int.from_bytes(self._buffer[:2], "big")
-            if length < HEAD.size - 2 or length > MAX_MESSAGE:
-                raise BinaryError(f"a message of {length} bytes")
+            if length < HEADER.size - 2 or length > MAX_MESSAGE:
+                raise BinaryError(f"message length {length} is out of range")
             if len(self._buffer) < 2 + length:
                 break
-            found.append(decode(bytes(self._buffer[: 2 + length])))
+            messages.append(decode(bytes(self._buffer[: 2 + length])))
             del self._buffer[: 2 + length]
-        return found
+        return messages
 
 
 def decode(frame: bytes) -> BinaryMessage:
-    _, kind, call = HEAD.unpack_from(frame)
+    _, kind, call_id = HEADER.unpack_from(frame)
     if kind not in KINDS:
-        # Guards against a spoilt stream being read on: what looks like a message in it may be none.
-        raise BinaryError(f"a message of kind {kind}")
+        # Guards against parsing on in a corrupt stream: what looks like a message there may not be one.
+        raise BinaryError(f"unknown message kind {kind}")
     values: dict[int, bytes] = {}
-    at = HEAD.size
-    while at < len(frame):
-        if at + PARAMETER.size > len(frame):
-            raise BinaryError("half a parameter")
-        code, length = PARAMETER.unpack_from(frame, at)
-        at += PARAMETER.size
-        if at + length > len(frame):
-            raise BinaryError(f"parameter {code} runs past the end")
-        values[code] = frame[at : at + length]
-        at += length
-    cause = values.get(P_CAUSE, b"\0")
-    if len(cause) != 1 or (kind in (RELEASE, PROBE_RESULT) and P_CAUSE not in values):
-        raise BinaryError("no usable cause")
-    if kind == ANSWER and not values.get(P_DESCRIPTION):
-        raise BinaryError("an answer without a description")
+    position = HEADER.size
+    while position < len(frame):
+        if position + PARAMETER_HEADER.size > len(frame):
+            raise BinaryError("truncated parameter header")
+        code, length = PARAMETER_HEADER.unpack_from(frame, position)
+        position += PARAMETER_HEADER.size
+        if position + length > len(frame):
+            raise BinaryError(f"parameter {code} extends beyond the end of the message")
+        values[code] = frame[position : position + length]
+        position += length
+    cause = values.get(PARAM_CAUSE, b"\0")
+    if len(cause) != 1 or (kind in (RELEASE, PROBE_RESULT) and PARAM_CAUSE not in values):
+        raise BinaryError("cause is missing or not one byte long")
+    if kind == ANSWER and not values.get(PARAM_DESCRIPTION):
+        raise BinaryError("answer without a session description")
     try:
         text = {
-            code: values[code].decode() for code in (P_CLASS, P_NUMBER, P_NOTE, P_GROUP) if code in values
+            code: values[code].decode()
+            for code in (PARAM_CLASS, PARAM_NUMBER, PARAM_REASON, PARAM_GROUP)
+            if code in values
         }
-        free, size = _group(text.get(P_GROUP, ""))
+        free, size = _parse_group(text.get(PARAM_GROUP, ""))
         return BinaryMessage(
-            kind, call, cause[0], text.get(P_CLASS, ""), text.get(P_NUMBER, ""),
-            _figure(values.get(P_WAIT, b"0")), text.get(P_NOTE, ""), _figure(values.get(P_TOLD_WAIT, b"0")),
-            free, size,
-            values.get(P_DESCRIPTION, b""),
+            kind, call_id, cause[0], text.get(PARAM_CLASS, ""), text.get(PARAM_NUMBER, ""),
+            _parse_number(values.get(PARAM_TIMEOUT, b"0")), text.get(PARAM_REASON, ""),
+            _parse_number(values.get(PARAM_RETRY_AFTER, b"0")), free, size,
+            values.get(PARAM_DESCRIPTION, b""),
         )  # fmt: skip
-    except ValueError as wrong:
-        raise BinaryError(f"a parameter makes no sense: {wrong}") from wrong
+    except ValueError as error:
+        raise BinaryError(f"invalid parameter value: {error}") from error
 
 
-def _figure(text: bytes) -> int:
-    if not text.isdigit() or int(text[:12]) > MAX_FIGURE:
-        raise ValueError(f"figure {text[:20]!r}")
+def _parse_number(text: bytes) -> int:
+    if not text.isdigit() or int(text[:12]) > MAX_NUMBER:
+        raise ValueError(f"number {text[:20]!r}")
     return int(text)
 
 
-def _group(text: str) -> tuple[float, float]:
+def _parse_group(text: str) -> tuple[float, float]:
     pairs = dict(part.split(":", 1) for part in text.split(";") if ":" in part)
     free, size = float(pairs.get("spare", -1)), float(pairs.get("total", -1))
-    if not (-1 <= free <= MAX_FIGURE and -1 <= size <= MAX_FIGURE):  # nor is it NaN
-        raise ValueError(f"group {text[:40]!r}")
+    if not (-1 <= free <= MAX_NUMBER and -1 <= size <= MAX_NUMBER):  # rejects NaN as well
+        raise ValueError(f"trunk group state {text[:40]!r}")
     return free, size
 
 
-def encode(m: BinaryMessage) -> bytes:
-    parts: list[tuple[int, bytes]] = []
-    if m.kind in (RELEASE, PROBE, PROBE_RESULT):
-        parts.append((P_CAUSE, bytes((m.cause,))))
-    if m.class_name:
-        parts.append((P_CLASS, m.class_name.encode()))
-    if m.timeout_ms:
-        parts.append((P_WAIT, str(m.timeout_ms).encode()))
-    if m.number:
-        parts.append((P_NUMBER, m.number.encode()))
-    if m.reason:
-        parts.append((P_NOTE, m.reason.encode()))
-    if m.retry_after_ms:
-        parts.append((P_TOLD_WAIT, str(m.retry_after_ms).encode()))
-    if m.size >= 0:
-        parts.append((P_GROUP, f"spare:{m.free:g};total:{m.size:g}".encode()))
-    if m.session_description:
-        parts.append((P_DESCRIPTION, m.session_description))
-    body = b"".join(PARAMETER.pack(code, len(value)) + value for code, value in parts)
-    return HEAD.pack(HEAD.size - 2 + len(body), m.kind, m.call_id) + body
+def encode(message: BinaryMessage) -> bytes:
+    parameters: list[tuple[int, bytes]] = []
+    if message.kind in (RELEASE, PROBE, PROBE_RESULT):
+        parameters.append((PARAM_CAUSE, bytes((message.cause,))))
+    if message.class_name:
+        parameters.append((PARAM_CLASS, message.class_name.encode()))
+    if message.timeout_ms:
+        parameters.append((PARAM_TIMEOUT, str(message.timeout_ms).encode()))
+    if message.number:
+        parameters.append((PARAM_NUMBER, message.number.encode()))
+    if message.reason:
+        parameters.append((PARAM_REASON, message.reason.encode()))
+    if message.retry_after_ms:
+        parameters.append((PARAM_RETRY_AFTER, str(message.retry_after_ms).encode()))
+    if message.size >= 0:
+        parameters.append((PARAM_GROUP, f"spare:{message.free:g};total:{message.size:g}".encode()))
+    if message.session_description:
+        parameters.append((PARAM_DESCRIPTION, message.session_description))
+    body = b"".join(PARAMETER_HEADER.pack(code, len(value)) + value for code, value in parameters)
+    return HEADER.pack(HEADER.size - 2 + len(body), message.kind, message.call_id) + body
--- a/arrowrail/wire/binary/pool.py
+++ b/arrowrail/wire/binary/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one desk exchange, what waits for them, and whether the server behind them is there."""
+"""The connections to one endpoint, the releases queued for it, and the check that its server is reachable."""
 
 from __future__ import annotations
 
@@ -20,95 +20,99 @@
 if TYPE_CHECKING:
     from arrowrail.wire.binary.backend import BinaryBackend
 
-# After our start, calls of the process before may stand at any server, which tells of their ends here.
-CALLS_BEFORE_NS = 60_000 * MS
-MOST_PENDING = 200  # releases that wait for a connection, and set-ups given up lately, of one server
+# After a start of the controller, any server may hold calls of the previous process and reports their
+# releases on connections of this one.
+RESTART_GRACE_NS = 60_000 * MS
+MAX_PENDING = 200  # per endpoint: releases waiting for a connection, recently cancelled set-ups
 
 
 class ConnectionPool:
-    """The connections to one desk exchange.
+    """The connections to one endpoint.
 
-    A connection that breaks, or brings something spoilt, takes all unanswered set-ups on it along: over a
-    few connections they are fewer, and what is owed to the exchange goes out on another one at once.
+    A connection that breaks or delivers an unreadable message takes all unanswered set-ups on it with it.
+    Spreading set-ups over a few connections reduces that loss, and pending releases can be sent on another
+    connection at once.
     """
 
     def __init__(self, backend: BinaryBackend, endpoint: Endpoint, size: int) -> None:
         self.backend, self.endpoint = backend, endpoint
         self.monitor = EndpointMonitor(backend.loop.now)
         self.checks: list[ReachabilityCheck] = []  # oldest first
-        self.unknown_calls = False  # calls may stand there that were set up before our start
-        self.pending_releases: list[Release] = []  # releases that found no connection
-        # Where set-ups were that no longer wait, the latest of them.
-        self.given_up: dict[str, ServerConnection] = {}
+        self.may_hold_unknown_calls = False  # calls set up before the start of this process
+        self.pending_releases: list[Release] = []  # releases waiting for a connection
+        # The connections of the set-ups that were cancelled last, by call id.
+        self.cancelled_set_ups: dict[str, ServerConnection] = {}
         self.connections = [ServerConnection(self) for _ in range(size)]
 
     def open(self) -> None:
         for connection in self.connections:
             connection.open()
 
-    def least_loaded(self, call: str = "") -> ServerConnection:
-        """The one with the fewest set-ups to lose, of those that are up.
+    def least_loaded(self, call_id: str = "") -> ServerConnection:
+        """The established connection with the fewest pending set-ups, or any other if none is up.
 
-        Guards a call that goes the same way again: on another connection than before, a late answer to the
-        first set-up can't be taken for one to the second.
+        A call that is tried again at this endpoint prefers another connection than before: there a late
+        answer to the first set-up can't be mistaken for an answer to the second.
         """
-        before = self.given_up.get(call)
+        previous = self.cancelled_set_ups.get(call_id)
         return min(
             self.connections,
             key=lambda connection: (
                 not connection.up,
                 connection.stream is None,
-                connection is before,
-                len(connection.waiting),
+                connection is previous,
+                len(connection.pending_set_ups),
             ),
         )
 
-    def holding(self, call: str) -> ServerConnection | None:
-        return next((connection for connection in self.connections if call in connection.waiting), None)
+    def find_connection(self, call_id: str) -> ServerConnection | None:
+        return next(
+            (connection for connection in self.connections if call_id in connection.pending_set_ups), None
+        )
 
-    def interrupted(self, call: str, data: bytes, never_up: bool, unsent: bool) -> None:
-        """The connection that a set-up was on has broken, before its answer, or never came up."""
+    def set_up_interrupted(self, call_id: str, data: bytes, never_up: bool, unsent: bool) -> None:
+        """Resends, releases or fails a set-up whose connection broke before the answer or never came up."""
         other = self.least_loaded()
         if unsent and other.up and self.endpoint.entry.state == IN_SERVICE:
-            other.send_set_up(call, data)  # nobody has seen it: it goes on elsewhere as the same attempt
+            other.send_set_up(call_id, data)  # no byte was written: it continues as the same attempt
             return
         if not unsent:
-            # Guards against a set-up that ran all the same, its answer spoilt, holding circuits for nobody.
-            self.release(call, Q850_NORMAL_CLEARING)
+            # Guards against circuits staying seized: the server may have accepted the set-up and its answer
+            # may have been unreadable.
+            self.release(call_id, Q850_NORMAL_CLEARING)
         outcome = "no_connection" if unsent else "connection_lost"
-        # That a connection broke says nothing of the processor behind it; that none comes up does.
+        # A broken connection says nothing about the processor behind it; one that never came up does.
         self.backend.core.attempt_failed(
-            self.endpoint, call, outcome, 0 if never_up else CAUSE_CONNECTION_FAILED
+            self.endpoint, call_id, outcome, 0 if never_up else CAUSE_CONNECTION_FAILED
         )
 
     @property
     def in_use(self) -> bool:
-        """Whether connections are wanted: a server that drains keeps its own while anything is left on it."""
+        """Whether connections are needed; a draining endpoint keeps them while it still has calls."""
         state = self.endpoint.entry.state
         if state == TERMINATING:
-            if self.backend.loop.now < self.backend.started_ns + CALLS_BEFORE_NS:
+            if self.backend.loop.now < self.backend.started_ns + RESTART_GRACE_NS:
                 return True
-            left = (
-                self.unknown_calls
+            pending = (
+                self.may_hold_unknown_calls
                 or self.pending_releases
-                or any(connection.waiting for connection in self.connections)
+                or any(connection.pending_set_ups for connection in self.connections)
             )
-            return bool(left or self.backend.core.established_calls[self.endpoint.endpoint_id])
+            return bool(pending or self.backend.core.established_calls[self.endpoint.endpoint_id])
         return state == IN_SERVICE
 
     def _close_drained(self) -> None:
-        """Close connections on which nothing is left; what still comes on them is read until the peer
-        closes."""
+        """Half-closes connections that are no longer needed; they are read until the peer closes them."""
         for connection in self.connections:
-            connection.retry.cancel()
+            connection.reconnect.cancel()
             if connection.stream is not None and connection.stream.connecting:
                 connection.stream.fail(None)
             elif connection.stream is not None and connection.stream.flushed:
                 ClosingConnection(self).take_over(connection)
 
-    def connection_failed(self, why: OSError | None) -> None:
-        """A connection broke or never came up; refused while no other is up, its process has died."""
-        if why is None or why.errno != errno.ECONNREFUSED:
+    def connection_failed(self, error: OSError | None) -> None:
+        """Reports refused connections to the monitor; a refusal while no other is up means a dead process."""
+        if error is None or error.errno != errno.ECONNREFUSED:
             return
         if any(connection.up for connection in self.connections):
             self.monitor.connection_limit_reached(self.backend.loop.now)
@@ -116,14 +120,14 @@
             self.monitor.connection_refused(self.backend.loop.now)
             self.check_server()
 
-    def check_failed(self, why: OSError | None) -> None:
-        if why is not None and why.errno == errno.ETIMEDOUT:
+    def check_failed(self, error: OSError | None) -> None:
+        if error is not None and error.errno == errno.ETIMEDOUT:
             self.monitor.check_failed(self.backend.loop.now)
         else:
-            self.connection_failed(why)
+            self.connection_failed(error)
 
     def check_server(self) -> None:
-        """Give up calls whose server is gone; where calls stand in silence, try whether it is still there."""
+        """Gives up the calls of a lost server, and starts a reachability check of a silent one with calls."""
         now, core = self.backend.loop.now, self.backend.core
         loss = self.monitor.detect_loss(now)
         if loss is not None:
@@ -131,15 +135,15 @@
         elif not self.in_use:
             self._close_drained()
         elif core.established_calls[self.endpoint.endpoint_id]:
-            pending = [check.begun_ns for check in self.checks if check.pending]
+            pending = [check.started_ns for check in self.checks if check.pending]
             if self.monitor.check_due(now, pending):
                 core.metrics.count("server.checked")
                 self.checks.append(ReachabilityCheck(self))
                 self.checks[-1].open()
 
     def queue_releases(self, releases: list[Release]) -> None:
-        """Releases that may not have arrived go out again, on another connection or on the next one."""
-        self.pending_releases = [*self.pending_releases, *releases][-MOST_PENDING:]
+        """Sends releases that may not have arrived again, on another connection or the next one to open."""
+        self.pending_releases = [*self.pending_releases, *releases][-MAX_PENDING:]
         connection = self.least_loaded()
         if connection.up:
             self.flush_releases(connection)
@@ -147,25 +151,25 @@
     def flush_releases(self, connection: ServerConnection) -> None:
         pending, self.pending_releases = self.pending_releases, []
         for release in pending:
-            # Guards a call that has gone the same way again: a late release would end its new set-up.
-            if not self.backend.core.has_attempt_at(release.call, self.endpoint):
-                connection.send_release(release.call, release.data)
+            # Guards a call that is being set up here again: a late release would end the new set-up.
+            if not self.backend.core.has_attempt_at(release.call_id, self.endpoint):
+                connection.send_release(release.call_id, release.data)
 
-    def release(self, call: str, cause: int) -> None:
-        """End a call, or a set-up that may have run, at the server."""
+    def release(self, call_id: str, cause: int) -> None:
+        """Releases a call, or a set-up that the server may have accepted."""
         connection = self.least_loaded()
-        data = binary.encode(BinaryMessage(binary.RELEASE, int(call, 16), cause=cause))
+        data = binary.encode(BinaryMessage(binary.RELEASE, int(call_id, 16), cause=cause))
         if connection.stream is None:
-            self.pending_releases = [*self.pending_releases, Release(call, data)][-MOST_PENDING:]
+            self.pending_releases = [*self.pending_releases, Release(call_id, data)][-MAX_PENDING:]
             connection.open()
         else:
-            connection.send_release(call, data)
+            connection.send_release(call_id, data)
 
     def close(self) -> None:
-        """Close all connections; what was written last still goes out, and nothing more is asked of them."""
+        """Closes all connections; messages already queued on those without pending set-ups still go out."""
         for connection in self.connections:
-            if connection.up and connection.stream is not None and not connection.waiting:
-                connection.retry.cancel()
+            if connection.up and connection.stream is not None and not connection.pending_set_ups:
+                connection.reconnect.cancel()
                 ClosingConnection(self).take_over(connection)
             else:
                 connection.close()
--- a/arrowrail/wire/listener.py
+++ b/arrowrail/wire/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket of a front, within the limit on descriptors."""
+"""A listening socket that accepts connections within a connection limit."""
 
 from __future__ import annotations
 
@@ -11,22 +11,26 @@
 from arrowrail.loop import READ, Loop
 from arrowrail.state.address import parse_address
 
-FULL = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-AT_ONCE = 16  # accepted in one go: a flood holds up no calls, and who speaks is read before who comes next
+OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+# Per event loop iteration: a flood of connections doesn't delay calls, and input on accepted connections is
+# read before further ones are accepted.
+MAX_ACCEPTS = 16
 
 
 class Listener:
-    """Accepts while there is room; else closes the idlest connection, or leaves callers in the backlog."""
+    """Accepts connections; at the limit it evicts an idle one or leaves new ones in the backlog."""
 
     def __init__(
         self,
         loop: Loop,
         address: str,
-        accepted: Callable[[socket.socket], object],
-        room: Callable[[], bool],
-        close_idlest: Callable[[], bool],
+        on_accepted: Callable[[socket.socket], object],
+        has_capacity: Callable[[], bool],
+        evict_idle: Callable[[], bool],
     ) -> None:
-        self._loop, self._accepted, self._room, self._close_idlest = loop, accepted, room, close_idlest
+        self._loop, self._on_accepted, self._has_capacity, self._evict_idle = (
+            loop, on_accepted, has_capacity, evict_idle,
+        )  # fmt: skip
         host, port = parse_address(address)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._sock = socket.create_server((host, port), family=family, backlog=512)
@@ -36,7 +40,7 @@
         self.resume()
 
     def resume(self) -> None:
-        """A connection has closed: there may be room again."""
+        """Accepts again after a pause; to be called when a connection has closed."""
         if self._paused:
             self._paused = False
             self._loop.watch(self._sock, READ, self._accept)
@@ -46,28 +50,28 @@
         self._sock.close()
 
     def _accept(self, _mask: int) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_ACCEPTS):
             try:
                 sock, _address = self._sock.accept()
             except BlockingIOError:
                 return
-            except OSError as why:
-                if why.errno not in FULL:
-                    continue  # the caller was gone before it was accepted
-                # Guards against EMFILE spinning the loop: the connection stays in the backlog.
-                logger.warning("no descriptor for a caller: {}", why)
-                if not self._close_idlest():
+            except OSError as error:
+                if error.errno not in OUT_OF_RESOURCES:
+                    continue  # the peer closed the connection before it was accepted
+                # Guards against a busy loop on EMFILE, since the connection stays in the backlog.
+                logger.warning("cannot accept a connection: {}", error)
+                if not self._evict_idle():
                     self._pause()
                     return
                 continue
-            # Room is made once somebody has come, not ahead: else the last place would always stay empty.
-            full = not self._room() and not self._close_idlest()
+            # Evicts after accepting, not in advance: otherwise the last slot would always stay unused.
+            at_limit = not self._has_capacity() and not self._evict_idle()
             try:
-                self._accepted(sock)
-            except OSError as why:  # reset before its options could be set
-                logger.debug("a connection was gone at once: {}", why)
+                self._on_accepted(sock)
+            except OSError as error:  # reset before its socket options could be set
+                logger.debug("an accepted connection failed at once: {}", error)
                 sock.close()
-            if full:
+            if at_limit:
                 self._pause()
                 return
 
--- a/arrowrail/wire/reconnect.py
+++ b/arrowrail/wire/reconnect.py
@@ -1,4 +1,4 @@
-"""When to try a broken connection again."""
+"""Reconnect timing: exponential backoff between connection attempts, and a timeout for each of them."""
 
 from __future__ import annotations
 
@@ -14,29 +14,31 @@
 
 
 class ReconnectTimer:
-    def __init__(self, loop: Loop, open_: Callable[[], None]) -> None:
-        self._loop, self._open = loop, open_
-        self._pause = MIN_BACKOFF_NS
-        self._again: Timer | None = None
-        self._timeout: Timer | None = None
-
-    def start_connect_timeout(self, limit_ns: int, stream: Stream) -> None:
-        """Fail the stream if it does not come up in time: a machine that vanished answers nothing."""
-        late = OSError(errno.ETIMEDOUT, "connect")
-        self._timeout = self._loop.timers.schedule(
-            self._loop.now + limit_ns, lambda: stream.fail(late) if stream.connecting else None
+    """Schedules the reconnects of one connection and fails attempts that take too long."""
+
+    def __init__(self, loop: Loop, connect: Callable[[], None]) -> None:
+        self._loop, self._connect = loop, connect
+        self._backoff_ns = MIN_BACKOFF_NS
+        self._retry_timer: Timer | None = None
+        self._timeout_timer: Timer | None = None
+
+    def start_connect_timeout(self, timeout_ns: int, stream: Stream) -> None:
+        """Fails the stream if it is not connected in time; a host that is down doesn't answer at all."""
+        error = OSError(errno.ETIMEDOUT, "connect")
+        self._timeout_timer = self._loop.timers.schedule(
+            self._loop.now + timeout_ns, lambda: stream.fail(error) if stream.connecting else None
         )
 
     def reset_backoff(self) -> None:
-        self._pause = MIN_BACKOFF_NS
+        self._backoff_ns = MIN_BACKOFF_NS
 
     def schedule(self) -> None:
-        """Try again later, at doubling pauses."""
+        """Schedules the next connection attempt and doubles the backoff up to its maximum."""
         self.cancel()
-        self._again = self._loop.timers.schedule(self._loop.now + self._pause, self._open)
-        self._pause = min(2 * self._pause, MAX_BACKOFF_NS)
+        self._retry_timer = self._loop.timers.schedule(self._loop.now + self._backoff_ns, self._connect)
+        self._backoff_ns = min(2 * self._backoff_ns, MAX_BACKOFF_NS)
 
     def cancel(self) -> None:
-        for deadline in (self._again, self._timeout):
-            if deadline is not None:
-                deadline.cancel()
+        for timer in (self._retry_timer, self._timeout_timer):
+            if timer is not None:
+                timer.cancel()
--- a/arrowrail/wire/sip/__init__.py
+++ b/arrowrail/wire/sip/__init__.py
@@ -1,1 +1,1 @@
-"""The SIP side: messages, and the front that owns callers' connections."""
+"""SIP over TCP: messages, the frontend that owns callers' connections, and delivery of releases."""
--- a/arrowrail/wire/sip/frontend.py
+++ b/arrowrail/wire/sip/frontend.py
@@ -1,4 +1,4 @@
-"""The platform's front: callers' SIP connections, and what the core wants said on them."""
+"""The SIP frontend: callers' connections, their requests, and the responses and releases of the core."""
 
 from __future__ import annotations
 
@@ -25,305 +25,321 @@
 from arrowrail.wire.sip.releases import ReleaseDelivery
 from arrowrail.wire.stream import Stream
 
-CALLER_LIMIT = 96 * 1024  # unread answers of one caller: hundreds of these have to fit into memory
-IDLE_NS = 20_000 * MS  # callers close theirs after 4 s: what idles longer has a peer that is gone
-# A caller is owed a word or a close within 3 s: this is how long it may take over a message, its first too.
-UNFINISHED_NS = 2_000 * MS
-LEFT_IDLE_NS = 5_000 * MS  # callers close after 4 s with no call: who is still there holds it for good
-SPEAK_NS = 250 * MS  # how long a caller may take to begin its first message before its place is wanted
-SWEEP_NS = 1_000 * MS
-RESERVED = 80  # descriptors kept for desk exchanges (a dozen in fours), the list and the process itself
+MAX_QUEUED_BYTES = 96 * 1024  # per connection; queues of hundreds of connections have to fit into memory
+# Callers close connections after 4 s without calls: one that is idle for this long has lost its peer.
+IDLE_TIMEOUT_NS = 20_000 * MS
+# A caller has to get a response or a close within 3 s; this is the time it has to complete a message,
+# including its first one.
+MESSAGE_TIMEOUT_NS = 2_000 * MS
+# Callers close connections after 4 s without calls: one that is idle for longer is kept open on purpose.
+EVICTABLE_IDLE_NS = 5_000 * MS
+FIRST_MESSAGE_GRACE_NS = 250 * MS  # a new connection without input is evicted only after this time
+SWEEP_INTERVAL_NS = 1_000 * MS
+# For a dozen endpoints with four connections each, the exchange list and the process itself.
+RESERVED_DESCRIPTORS = 80
 
 
-class Caller:
-    """One connection from callers; it carries many calls."""
+class CallerConnection:
+    """One connection from a caller; it carries many calls."""
 
     __slots__ = (
         "frontend",
         "handle",
+        "has_answered_call",
+        "has_sent_request",
         "idle_since",
-        "open_calls",
+        "message_timeout",
         "parser",
-        "proven",
+        "pending_calls",
         "serial",
-        "stood",
         "stream",
-        "unfinished",
     )
 
     def __init__(self, frontend: SipFrontend, sock: socket.socket) -> None:
         self.frontend = frontend
         self.parser = sip.SipParser()
-        self.open_calls: set[str] = set()  # set-ups without their final answer
+        self.pending_calls: set[str] = set()  # set-ups without a final response
         self.idle_since = frontend.loop.now
-        self.proven = False  # it has said something of use
-        self.stood = False  # a call on it was answered
-        # Guards against the newest of those accepted in one turn being closed as the idlest of them.
-        self.serial = frontend.accepted = frontend.accepted + 1
+        self.has_sent_request = False  # at least one valid set-up or OPTIONS
+        self.has_answered_call = False  # a set-up received on it was answered
+        # Breaks ties between connections accepted in one event loop iteration, so that the newest of them is
+        # not evicted as the one idle for longest.
+        self.serial = frontend.accepted_count = frontend.accepted_count + 1
         self.handle = frontend.callers.add(self)
-        self.unfinished = MessageTimeout(frontend.loop, UNFINISHED_NS, self._stalled)
-        self.unfinished.update(True, False)  # who says nothing at all is owed a close as well
-        self.stream = Stream(frontend.loop, sock, self, limit=CALLER_LIMIT)
+        self.message_timeout = MessageTimeout(frontend.loop, MESSAGE_TIMEOUT_NS, self._on_message_timeout)
+        self.message_timeout.update(True, False)  # a silent caller is disconnected as well
+        self.stream = Stream(frontend.loop, sock, self, max_queued_bytes=MAX_QUEUED_BYTES)
 
     @property
-    def trust(self) -> int:
-        return 2 if self.stood else int(self.proven)
+    def trust_level(self) -> int:
+        """How likely the peer is a caller that handles releases, from 0 to 2."""
+        return 2 if self.has_answered_call else int(self.has_sent_request)
 
     def connected(self) -> None:
-        pass  # it was accepted
+        pass  # accepted connections are up from the start
 
     def received(self, data: bytes) -> None:
         self.idle_since = self.frontend.loop.now
         found = self.parser.feed(data)
-        self.unfinished.update(self.parser.pending, bool(found))
+        self.message_timeout.update(self.parser.pending, bool(found))
         for message in found:
             if isinstance(message, sip.Malformed):
-                self.frontend.malformed(self, message)
+                self.frontend.handle_malformed(self, message)
             else:
-                self.frontend.message(self, message)
+                self.frontend.handle_message(self, message)
             if self.stream.closing or not self.stream.open:
-                return  # what is behind a message that can't be read is not to be trusted
+                return  # input after an unreadable message can't be parsed reliably
 
-    def _stalled(self) -> None:
-        """It said nothing, or stopped in the middle of a message."""
-        self.frontend.drop(self)
+    def _on_message_timeout(self) -> None:
+        """The caller sent nothing, or stopped in the middle of a message."""
+        self.frontend.close_gracefully(self)
 
-    def lost(self, _why: OSError | None) -> None:
-        self.frontend.gone(self)
+    def lost(self, _error: OSError | None) -> None:
+        self.frontend.connection_closed(self)
 
 
 @dataclass(slots=True)
 class Dialog:
-    """What is needed to answer a set-up and to release the call later."""
+    """The data needed to answer a set-up and to release the call later."""
 
     invite: sip.SipMessage
-    standing: bool = False
+    established: bool = False
 
 
 @dataclass(slots=True)
 class SipFrontend:
+    """Accepts callers' SIP connections, submits their set-ups to the core and sends its responses."""
+
     loop: Loop
     core: Core
     address: str
     max_sockets: int
-    callers: SlotTable[Caller] = field(default_factory=SlotTable)
+    callers: SlotTable[CallerConnection] = field(default_factory=SlotTable)
     dialogs: dict[str, Dialog] = field(default_factory=dict)
     listener: Listener | None = None
-    accepted: int = 0
-    max_connections: int = 0  # connections at a time, where a limit is set; 0: what descriptors leave
-    malformed_seen: RateLimitedWarning = field(init=False)
+    accepted_count: int = 0
+    max_connections: int = 0  # 0: limited by the available descriptors only
+    malformed_warning: RateLimitedWarning = field(init=False)
     releases: ReleaseDelivery = field(init=False)
 
     def __post_init__(self) -> None:
         self.releases = ReleaseDelivery(self.loop, self.core, self.callers)
-        self.malformed_seen = RateLimitedWarning(self.loop)
+        self.malformed_warning = RateLimitedWarning(self.loop)
 
     def start(self) -> None:
         self.core.frontends.append(self)
-        self.listener = Listener(self.loop, self.address, self._accepted, self._room, self._close_idlest)
-        self.loop.timers.schedule(self.loop.now + SWEEP_NS, self._sweep)
+        self.listener = Listener(
+            self.loop, self.address, self._on_accepted, self._has_capacity, self._evict_idle
+        )
+        self.loop.timers.schedule(self.loop.now + SWEEP_INTERVAL_NS, self._sweep)
 
     # --- Connections ------------------------------------------------------------------------------------
 
-    def _accepted(self, sock: socket.socket) -> None:
-        Caller(self, sock)  # the loop holds on to it
+    def _on_accepted(self, sock: socket.socket) -> None:
+        CallerConnection(self, sock)  # kept alive by the event loop
         self.releases.deliver()
 
-    def _room(self) -> bool:
+    def _has_capacity(self) -> bool:
         if self.max_connections:
             return len(self.callers) + len(self.loop.closing_streams) < self.max_connections
-        return len(self.callers) + len(self.loop.closing_streams) < max(8, self.max_sockets - RESERVED)
+        return len(self.callers) + len(self.loop.closing_streams) < max(
+            8, self.max_sockets - RESERVED_DESCRIPTORS
+        )
 
-    def _close_idlest(self) -> bool:
-        """Who was told its last word goes first, then who says nothing, then who has idled for long.
+    def _evict_idle(self) -> bool:
+        """Closes one connection: a closing one first, then one without input, then one idle for long.
 
-        Guards against a set-up being destroyed unread: who has just come gets time to speak, and nobody is
-        closed whose input waits.
+        Guards against discarding a set-up unread: a new connection gets time to send its first message, and
+        one with unread input is not closed.
         """
         if self.loop.closing_streams:
             next(iter(self.loop.closing_streams)).fail(None)
             return True
         now = self.loop.now
 
-        def rank(caller: Caller) -> tuple[int, int, int]:
-            since = now - caller.idle_since
-            if caller.proven:
-                return (1 if since > LEFT_IDLE_NS else 3), caller.idle_since, caller.serial
-            return (0 if since > SPEAK_NS else 2), caller.idle_since, caller.serial
+        def rank(caller: CallerConnection) -> tuple[int, int, int]:
+            idle_ns = now - caller.idle_since
+            if caller.has_sent_request:
+                return (1 if idle_ns > EVICTABLE_IDLE_NS else 3), caller.idle_since, caller.serial
+            return (0 if idle_ns > FIRST_MESSAGE_GRACE_NS else 2), caller.idle_since, caller.serial
 
-        for caller in sorted((c for c in self.callers if not c.open_calls), key=rank):
+        for caller in sorted((c for c in self.callers if not c.pending_calls), key=rank):
             if not caller.stream.has_unread_input:
                 self._close(caller)
                 return True
         return False
 
-    def drop(self, caller: Caller) -> None:
-        """Its input is of no use: what it has open is refused, once each, and it is told no more."""
-        for call in list(caller.open_calls):
-            self._refuse_open(call, caller, 503)
-        self.gone(caller)
-        caller.stream.close_gracefully(self._left)
+    def close_gracefully(self, caller: CallerConnection) -> None:
+        """Rejects the pending calls of a connection with unusable input, and closes it."""
+        for call_id in list(caller.pending_calls):
+            self._reject_pending(call_id, caller, 503)
+        self.connection_closed(caller)
+        caller.stream.close_gracefully(self._on_closed)
 
-    def _left(self) -> None:
+    def _on_closed(self) -> None:
         if self.listener is not None:
             self.listener.resume()
 
-    def _refuse_open(self, call: str, caller: Caller, status: int) -> None:
-        """Its caller has made the set-up unusable: that ends it, and this is its one answer."""
-        dialog = self.dialogs[call]
-        self.core.caller_abandoned(call)
-        self._end(call, caller, sip.response(status, dialog.invite))
+    def _reject_pending(self, call_id: str, caller: CallerConnection, status: int) -> None:
+        """Ends a pending set-up after unusable input from its caller, with its one final response."""
+        dialog = self.dialogs[call_id]
+        self.core.caller_abandoned(call_id)
+        self._send_final_response(call_id, caller, sip.response(status, dialog.invite))
 
-    def _close(self, caller: Caller) -> None:
+    def _close(self, caller: CallerConnection) -> None:
         caller.stream.close()
-        self.gone(caller)
+        self.connection_closed(caller)
 
     def _sweep(self) -> None:
         now = self.loop.now
         for caller in self.callers:
-            idle = not caller.open_calls and now - caller.idle_since > IDLE_NS
+            idle = not caller.pending_calls and now - caller.idle_since > IDLE_TIMEOUT_NS
             if idle and not caller.stream.has_unread_input:
                 self._close(caller)
         self.releases.expire(now)
         if self.listener is not None:
             self.listener.resume()
-        self.loop.timers.schedule(now + SWEEP_NS, self._sweep)
+        self.loop.timers.schedule(now + SWEEP_INTERVAL_NS, self._sweep)
 
-    def gone(self, caller: Caller) -> None:
+    def connection_closed(self, caller: CallerConnection) -> None:
         if self.callers.remove(caller.handle) is None:
             return
-        caller.unfinished.cancel()
-        for call in caller.open_calls:
-            self.dialogs.pop(call, None)
-            self.core.caller_abandoned(call)
-        caller.open_calls = set()
-        self.releases.connection_gone(caller.handle)
+        caller.message_timeout.cancel()
+        for call_id in caller.pending_calls:
+            self.dialogs.pop(call_id, None)
+            self.core.caller_abandoned(call_id)
+        caller.pending_calls = set()
+        self.releases.connection_closed(caller.handle)
         self.releases.deliver()
         if self.listener is not None:
             self.listener.resume()
 
     # --- From callers -----------------------------------------------------------------------------------
 
-    def malformed(self, caller: Caller, found: sip.Malformed) -> None:
-        self.malformed_seen.record(f"malformed message from a caller: {found.reason}")
-        message = found.message
-        if message.call_id in caller.open_calls:
-            # One answer for both: a second one under the same id would be taken for the first set-up's.
-            self._refuse_open(message.call_id, caller, found.status)
+    def handle_malformed(self, caller: CallerConnection, malformed: sip.Malformed) -> None:
+        self.malformed_warning.record(f"malformed message from a caller: {malformed.reason}")
+        message = malformed.message
+        if message.call_id in caller.pending_calls:
+            # One response for both: a second one with the same Call-ID would be taken for the first set-up's.
+            self._reject_pending(message.call_id, caller, malformed.status)
         elif message.method and message.method != "ACK" and message.call_id and message.cseq_method:
-            caller.stream.send(sip.response(found.status, message))
-        elif not found.fatal:
-            self.drop(caller)  # nobody to answer
-        if found.fatal:
-            self.drop(caller)
+            caller.stream.send(sip.response(malformed.status, message))
+        elif not malformed.fatal:
+            self.close_gracefully(caller)  # the message can't be answered
+        if malformed.fatal:
+            self.close_gracefully(caller)
 
-    def message(self, caller: Caller, message: sip.SipMessage) -> None:
+    def handle_message(self, caller: CallerConnection, message: sip.SipMessage) -> None:
         if message.status or message.method in ("ACK", "NOTIFY"):
             if message.cseq_method == "BYE":
-                self.releases.heard(message.call_id)
+                self.releases.acknowledged(message.call_id)
             return
         if not message.call_id or not message.cseq_method:
-            self.malformed(caller, sip.Malformed(400, "no Call-ID or CSeq", message, False))
+            self.handle_malformed(caller, sip.Malformed(400, "no Call-ID or CSeq", message, False))
         elif message.method == "INVITE":
             self._invite(caller, message)
         elif message.method == "CANCEL":
             self._cancel(caller, message)
-        elif message.method == "BYE" and self._waits(message.call_id):
-            self._cancel(caller, message)  # released before it stood: given up
+        elif message.method == "BYE" and self._is_pending(message.call_id):
+            self._cancel(caller, message)  # released before the answer: a cancellation
         elif message.method == "BYE":
             known = self.core.caller_released(message.call_id) or message.call_id in self.core.ended_calls
             self.dialogs.pop(message.call_id, None)
             caller.stream.send(sip.response(200 if known else 481, message))
         elif message.method == "OPTIONS":
-            caller.proven = True
+            caller.has_sent_request = True
             caller.stream.send(sip.response(200 if self.core.list_received else 503, message))
         else:
             caller.stream.send(sip.response(405, message))
 
-    def _waits(self, call: str) -> bool:
-        dialog = self.dialogs.get(call)
-        return dialog is not None and not dialog.standing
+    def _is_pending(self, call_id: str) -> bool:
+        dialog = self.dialogs.get(call_id)
+        return dialog is not None and not dialog.established
 
-    def _invite(self, caller: Caller, message: sip.SipMessage) -> None:
-        call = message.call_id
+    def _invite(self, caller: CallerConnection, message: sip.SipMessage) -> None:
+        call_id = message.call_id
         try:
-            offer = read_invite(message, self.loop.now, self.core.admission is not None)
-            if not self.core.supports_class(offer.class_name):
-                raise ValueError("no such class")
-            request = self.core.find(call)
-            if request is not None and not same_call(request.params, offer, self.core.admission is not None):
-                raise ValueError("the id of another call")
-        except ValueError as wrong:
-            self.malformed(caller, sip.Malformed(400, str(wrong), message, False))
+            params = read_invite(message, self.loop.now, self.core.admission is not None)
+            if not self.core.supports_class(params.class_name):
+                raise ValueError("unknown class")
+            request = self.core.find(call_id)
+            if request is not None and not is_same_call(
+                request.params, params, self.core.admission is not None
+            ):
+                raise ValueError("Call-ID is in use by another call")
+        except ValueError as error:
+            self.handle_malformed(caller, sip.Malformed(400, str(error), message, False))
             return
-        if not self.core.submit(self, caller.handle, offer):
-            if request is None:  # it is over, and its answer may not have arrived
+        if not self.core.submit(self, caller.handle, params):
+            if request is None:  # the call is over, and its response may be lost
                 caller.stream.send(sip.response(503, message))
-            return  # sent again: the first one's answer is the only one
-        caller.proven = True
+            return  # a retransmission: the response to the first one answers both
+        caller.has_sent_request = True
         message.body = b""
-        self.dialogs[offer.call_id] = Dialog(message)
-        caller.open_calls.add(offer.call_id)
+        self.dialogs[params.call_id] = Dialog(message)
+        caller.pending_calls.add(params.call_id)
 
-    def _cancel(self, caller: Caller, message: sip.SipMessage) -> None:
-        call = message.call_id
-        dialog = self.dialogs.get(call)
+    def _cancel(self, caller: CallerConnection, message: sip.SipMessage) -> None:
+        call_id = message.call_id
+        dialog = self.dialogs.get(call_id)
         caller.stream.send(sip.response(200 if dialog is not None else 481, message))
         if dialog is None:
             return
-        if dialog.standing:
-            # Crossed with our answer: the caller has stopped waiting and won't use the call.
-            self.core.caller_released(call)
-            self.dialogs.pop(call, None)
+        if dialog.established:
+            # The CANCEL crossed the 200 response: the caller no longer waits and won't use the call.
+            self.core.caller_released(call_id)
+            self.dialogs.pop(call_id, None)
             return
-        request = self.core.find(call)
-        home = self.callers.get(request.connection_id) if request is not None else None
-        self.core.caller_abandoned(call)
-        self._end(call, home, sip.response(487, dialog.invite))
+        request = self.core.find(call_id)
+        origin = self.callers.get(request.connection_id) if request is not None else None
+        self.core.caller_abandoned(call_id)
+        self._send_final_response(call_id, origin, sip.response(487, dialog.invite))
 
     # --- From the core ----------------------------------------------------------------------------------
 
-    def respond(self, request: Request, answer: FinalResponse) -> None:
-        call = request.params.call_id
-        dialog = self.dialogs.get(call)
+    def respond(self, request: Request, response: FinalResponse) -> None:
+        call_id = request.params.call_id
+        dialog = self.dialogs.get(call_id)
         caller = self.callers.get(request.connection_id)
         if dialog is None:
             return
-        if answer.result == ESTABLISHED:
-            dialog.standing = True
+        if response.result == ESTABLISHED:
+            dialog.established = True
             data = sip.response(
-                200, dialog.invite, (("Content-Type", "application/sdp"),), answer.session_description
+                200, dialog.invite, (("Content-Type", "application/sdp"),), response.session_description
             )
             if caller is not None:
-                caller.open_calls.discard(call)
+                caller.pending_calls.discard(call_id)
                 caller.stream.send(data)
-                if not caller.stood:
-                    caller.stood = True
+                if not caller.has_answered_call:
+                    caller.has_answered_call = True
                     self.releases.deliver()
             return
-        extra = [("X-Later-Ms", str(-(-answer.retry_after_ns // MS)))] if answer.retry_after_ns > 0 else []
-        status = 404 if answer.outcome == NO_ROUTE else STATUS[answer.result]
-        self._end(call, caller, sip.response(status, dialog.invite, extra))
-
-    def _end(self, call: str, caller: Caller | None, data: bytes) -> None:
-        self.dialogs.pop(call, None)
+        headers = (
+            [("X-Later-Ms", str(-(-response.retry_after_ns // MS)))] if response.retry_after_ns > 0 else []
+        )
+        status = 404 if response.outcome == NO_ROUTE else STATUS_BY_RESULT[response.result]
+        self._send_final_response(call_id, caller, sip.response(status, dialog.invite, headers))
+
+    def _send_final_response(self, call_id: str, caller: CallerConnection | None, data: bytes) -> None:
+        self.dialogs.pop(call_id, None)
         if caller is not None:
-            caller.open_calls.discard(call)
+            caller.pending_calls.discard(call_id)
             caller.idle_since = self.loop.now
             caller.stream.send(data)
 
     def release(self, request: Request, cause: int) -> None:
         dialog = self.dialogs.pop(request.params.call_id, None)
         uri = dialog.invite.uri if dialog is not None else "sip:peer@net"
-        self._bye(request.params.call_id, uri, cause, self.callers.get(request.connection_id))
+        self._send_bye(request.params.call_id, uri, cause, self.callers.get(request.connection_id))
 
-    def release_unknown(self, call: str, cause: int) -> None:
-        self._bye(call, "sip:peer@net", cause, None)
+    def release_unknown(self, call_id: str, cause: int) -> None:
+        self._send_bye(call_id, "sip:peer@net", cause, None)
 
-    def _bye(self, call: str, uri: str, cause: int, caller: Caller | None) -> None:
-        """No connection owns a call that stands: any will do, and else the next that opens."""
-        data = sip.request("BYE", uri, self.address, call, 1, (("Reason", f"Q.850;cause={cause}"),))
-        self.releases.send(call, data, caller)
+    def _send_bye(self, call_id: str, uri: str, cause: int, caller: CallerConnection | None) -> None:
+        """Sends a BYE; an established call is not bound to a connection, so any open one will do."""
+        data = sip.request("BYE", uri, self.address, call_id, 1, (("Reason", f"Q.850;cause={cause}"),))
+        self.releases.send(call_id, data, caller)
 
     @property
     def connections(self) -> int:
@@ -333,55 +349,56 @@
         return all(caller.stream.flushed for caller in self.callers)
 
 
-STATUS = {REFUSED: 503, FAILED: 500}
+STATUS_BY_RESULT = {REFUSED: 503, FAILED: 500}
 
 
 HEX = re.compile(r"[0-9a-f]{1,16}")
-FIGURE = re.compile(r"-?[0-9]{1,12}")
+INTEGER = re.compile(r"-?[0-9]{1,12}")
 
 
-def same_call(one: SetUpParams, other: SetUpParams, routed: bool = False) -> bool:
-    """Whether two set-ups ask for the same, but for the time at which they came, and where they are led."""
+def is_same_call(one: SetUpParams, other: SetUpParams, routed: bool = False) -> bool:
+    """Whether two set-ups are equal, apart from the deadline and, if ``routed``, from the route."""
     if routed:
         one = replace(one, destination=-1, width=1, route="")
     return replace(one, deadline_ns=0) == replace(other, deadline_ns=0)
 
 
-def _figure(text: str, low: int, high: int) -> int:
-    # Plain digits: what int() takes beyond them, blanks and other scripts, no other party would read.
-    if not FIGURE.fullmatch(text) or not low <= int(text) <= high:
-        raise ValueError(f"figure {text[:20]!r}")
+def _parse_integer(text: str, low: int, high: int) -> int:
+    # Plain digits only: int() also accepts spaces and digits of other scripts, which other systems don't.
+    if not INTEGER.fullmatch(text) or not low <= int(text) <= high:
+        raise ValueError(f"number {text[:20]!r}")
     return int(text)
 
 
 def read_invite(message: sip.SipMessage, now: int, routed: bool = False) -> SetUpParams:
-    """The request that a set-up asks for; ``ValueError`` names the field that is missing or wrong.
+    """The parameters of a set-up from its INVITE; ``ValueError`` names a missing or invalid field.
 
-    ``routed``: the way follows from the number or ``X-District``, so that no facts are needed.
+    ``routed``: the route follows from the called number or ``X-District``, so that X-Facts is not needed.
     """
     headers = message.headers
     for name in ("subject", "x-patience") if routed else ("subject", "x-patience", "x-facts"):
         if name not in headers:
-            raise ValueError(f"no {name}")
+            raise ValueError(f"header {name} is missing")
     number = message.uri.removeprefix("sip:").partition("@")[0]
     if not HEX.fullmatch(number.lower()):
-        raise ValueError("a number that is no number")
+        raise ValueError("called number is not 1 to 16 hex digits")
     if len(message.call_id) != 16 or not HEX.fullmatch(message.call_id):
         raise ValueError("Call-ID is not 16 hex digits")
     if not message.body:
-        raise ValueError("no description")
-    patience = _figure(headers["x-patience"], 0, 86_400_000)
+        raise ValueError("session description is missing")
+    patience_ms = _parse_integer(headers["x-patience"], 0, 86_400_000)
     if routed:
         return SetUpParams(
-            message.call_id, headers["subject"], number, int(number, 16), -1, 1, now + patience * MS,
+            message.call_id, headers["subject"], number, int(number, 16), -1, 1, now + patience_ms * MS,
             message.body, redialled="x-retry" in headers, district=headers.get("x-district", ""),
         )  # fmt: skip
     facts = dict(part.split(":", 1) for part in headers["x-facts"].split(";") if ":" in part)
     if "dest" not in facts:
-        raise ValueError("no dest among the facts")
+        raise ValueError("x-facts has no dest")
     return SetUpParams(
-        message.call_id, headers["subject"], number, int(number, 16), _figure(facts["dest"], 0, 1 << 20),
-        _figure(facts.get("width", "1"), 1, 1024), now + patience * MS, message.body,
+        message.call_id, headers["subject"], number, int(number, 16),
+        _parse_integer(facts["dest"], 0, 1 << 20), _parse_integer(facts.get("width", "1"), 1, 1024),
+        now + patience_ms * MS, message.body,
         facts.get("transit") == "1", "x-retry" in headers, facts.get("again") == "1",
-        _figure(facts.get("via", "-1"), -1, 1 << 20),
+        _parse_integer(facts.get("via", "-1"), -1, 1 << 20),
     )  # fmt: skip
--- a/arrowrail/wire/sip/releases.py
+++ b/arrowrail/wire/sip/releases.py
@@ -1,8 +1,8 @@
-"""Delivery of releases to callers: no connection owns a call that stands, so the best that is open is taken.
+"""Delivery of releases to callers on the most suitable open connection.
 
-A release goes out on the call's own connection if that is open, else on one on which calls were answered
-before, and after a while on whatever is open.  It is sent again when its connection is lost before it can
-have arrived.
+An established call is not bound to a connection.  A release is sent on the connection of its set-up if that
+is open, otherwise on one on which a call was answered before, and after a delay on any open one.  It is sent
+again when its connection closes before the release can have arrived.
 """
 
 from __future__ import annotations
@@ -17,89 +17,98 @@
 from arrowrail.telemetry.events import call_event, event, first_ids
 
 if TYPE_CHECKING:
-    from arrowrail.wire.sip.frontend import Caller
+    from arrowrail.wire.sip.frontend import CallerConnection
 
-KEPT_NS = 8_000 * MS  # how long a release waits for a connection to go out on
-PATIENCE_NS = 250 * MS  # how long a release waits for a better connection, twice at most
-CROSSING_NS = 2_000 * MS  # how long a release that went out may have crossed its connection's close
+RELEASE_LIFETIME_NS = 8_000 * MS  # how long a release waits for a connection before it is dropped
+# How long a release waits for a connection with a higher trust level; at most twice this time.
+BETTER_CONNECTION_WAIT_NS = 250 * MS
+# A release written within this time before its connection closed may have crossed the close and be lost.
+DELIVERY_GRACE_NS = 2_000 * MS
 
 
 @dataclass(slots=True)
 class PendingRelease:
-    """A release on its way; ``connection`` 0: none has taken it yet."""
+    """A release that is not acknowledged; ``connection_id`` is 0 while it is not written to a connection."""
 
-    call: str
+    call_id: str
     message: bytes
-    since: int
-    until: int
-    connection: int = 0
-    trust: int = 0  # of the connection that took it
+    created_ns: int
+    expires_ns: int
+    connection_id: int = 0
+    trust_level: int = 0  # of the connection it was written to
 
 
 class ReleaseDelivery:
-    """The releases of one front that are not known to have arrived."""
+    """Sends the releases of one frontend and keeps those that may not have arrived."""
 
-    def __init__(self, loop: Loop, core: Core, callers: SlotTable[Caller]) -> None:
+    def __init__(self, loop: Loop, core: Core, callers: SlotTable[CallerConnection]) -> None:
         self.loop, self.core, self.callers = loop, core, callers
         self.pending: dict[str, PendingRelease] = {}
-        self._again_at = 0  # when releases that wait are looked at again
+        self._retry_at_ns = 0  # when waiting releases are tried again
 
-    def send(self, call: str, message: bytes, caller: Caller | None) -> None:
-        """Deliver a release, best on the connection of its call."""
+    def send(self, call_id: str, message: bytes, caller: CallerConnection | None) -> None:
+        """Sends a release, preferably on the connection of its call."""
         now = self.loop.now
-        release = self.pending[call] = PendingRelease(call, message, now, now + KEPT_NS)
+        release = self.pending[call_id] = PendingRelease(call_id, message, now, now + RELEASE_LIFETIME_NS)
         if caller is not None and caller.stream.open:
-            self._hand_over(release, caller)
+            self._write(release, caller)
         else:
             self.deliver()
 
-    def heard(self, call: str) -> None:
-        """A caller has confirmed it."""
-        self.pending.pop(call, None)
+    def acknowledged(self, call_id: str) -> None:
+        """A caller has answered the BYE."""
+        self.pending.pop(call_id, None)
 
-    def connection_gone(self, handle: int) -> None:
-        """Guards against a release lost with a connection that its caller closed while it was on its way."""
+    def connection_closed(self, handle: int) -> None:
+        """Queues releases again that may be lost because the caller closed the connection meanwhile."""
         for release in self.pending.values():
-            if release.connection == handle:
-                release.connection = 0
+            if release.connection_id == handle:
+                release.connection_id = 0
 
     def expire(self, now: int) -> None:
-        """Forget the releases that found no connection for too long, and those that had time to arrive."""
+        """Drops releases that found no connection in time, and those that had enough time to arrive."""
         unsent = [
-            call for call, release in self.pending.items() if release.until <= now and not release.connection
+            call_id
+            for call_id, release in self.pending.items()
+            if release.expires_ns <= now and not release.connection_id
         ]
         if unsent:
             self.core.metrics.count("release.undelivered", amount=len(unsent))
-            event("release.undelivered", "{calls} releases found no caller to go to: {ids}", level="WARNING",
+            event("release.undelivered", "no caller connection for {calls} releases: {ids}", level="WARNING",
                   calls=len(unsent), ids=first_ids(unsent))  # fmt: skip
-        self.pending = {call: release for call, release in self.pending.items() if release.until > now}
+        self.pending = {
+            call_id: release for call_id, release in self.pending.items() if release.expires_ns > now
+        }
 
     def deliver(self) -> None:
-        """What waits for a connection goes out on the best one open, and again once there is a better.
+        """Sends waiting releases on the most trusted open connection, and again once there is a better one.
 
-        Guards against releases handed to those who hold connections and are no callers: a connection on which
-        a call was answered is believed at once, one that asked for something or has just come after a while.
+        Guards against sending releases to peers that only hold connections open: a connection on which a call
+        was answered is used at once, one that only sent a request or is new after a delay.
         """
         if not self.pending:
             return
         now = self.loop.now
         open_ = [caller for caller in self.callers if caller.stream.open]
-        best = max(open_, key=lambda caller: (caller.trust, caller.idle_since), default=None)
+        best = max(open_, key=lambda caller: (caller.trust_level, caller.idle_since), default=None)
         waiting = False
         for release in self.pending.values():
-            if release.connection and (best is None or release.trust >= best.trust):
+            if release.connection_id and (best is None or release.trust_level >= best.trust_level):
                 continue
-            if best is not None and now - release.since >= (2 - best.trust) * PATIENCE_NS:
-                self._hand_over(release, best)
-            waiting = waiting or (best is not None and not release.connection)
-        if waiting and self._again_at <= now:
-            self._again_at = now + PATIENCE_NS
-            self.loop.timers.schedule(self._again_at, self.deliver)
-
-    def _hand_over(self, release: PendingRelease, caller: Caller) -> None:
-        release.connection, release.trust = caller.handle, caller.trust
-        if caller.stood:
-            release.until = min(release.until, self.loop.now + CROSSING_NS)
-        call_event("release.sent", release.call, "release written to connection {connection}",
+            if (
+                best is not None
+                and now - release.created_ns >= (2 - best.trust_level) * BETTER_CONNECTION_WAIT_NS
+            ):
+                self._write(release, best)
+            waiting = waiting or (best is not None and not release.connection_id)
+        if waiting and self._retry_at_ns <= now:
+            self._retry_at_ns = now + BETTER_CONNECTION_WAIT_NS
+            self.loop.timers.schedule(self._retry_at_ns, self.deliver)
+
+    def _write(self, release: PendingRelease, caller: CallerConnection) -> None:
+        release.connection_id, release.trust_level = caller.handle, caller.trust_level
+        if caller.has_answered_call:
+            release.expires_ns = min(release.expires_ns, self.loop.now + DELIVERY_GRACE_NS)
+        call_event("release.sent", release.call_id, "release written to connection {connection}",
                    connection=caller.serial)  # fmt: skip
         caller.stream.send(release.message)
--- a/arrowrail/wire/stream.py
+++ b/arrowrail/wire/stream.py
@@ -1,4 +1,4 @@
-"""A non-blocking TCP connection: bounded buffers, and messages that can still be taken back."""
+"""A non-blocking TCP connection with a bounded send queue from which unsent messages can be removed."""
 
 from __future__ import annotations
 
@@ -15,27 +15,32 @@
 from arrowrail.loop import READ, WRITE, Loop
 from arrowrail.state.address import parse_address
 
-READ_SIZE = 16 * 1024  # of one connection in one turn: a peer that floods waits its turn like the others
-LINGER_NS = 3_000_000_000  # for a peer that was told its last word to stop sending and close
-MOST_LEAVING = 32  # such peers at a time: beyond them the oldest is cut off
-OUT_LIMIT = 256 * 1024  # a peer that lets this much pile up is not reading: it is cut off
-# Little is handed to the kernel ahead of what the peer has room for: what it holds can't be taken back.
+READ_SIZE = 16 * 1024  # per connection and event loop iteration: a flooding peer doesn't starve the others
+LINGER_TIMEOUT_NS = 3_000_000_000  # for the peer of a closing stream to stop sending and close
+MAX_CLOSING = 32  # closing streams at a time; beyond them the oldest is closed at once
+MAX_QUEUED_BYTES = 256 * 1024  # a peer with more than this queued for it doesn't read: it is disconnected
+# Keeps the unsent data in the kernel's buffer small, since messages there can no longer be removed.
 NOTSENT_LOWAT = 4096
 TCP_NOTSENT_LOWAT = getattr(socket, "TCP_NOTSENT_LOWAT", 25)
 
 
-class Owner(Protocol):
+class StreamHandler(Protocol):
+    """Receives the events of a stream."""
+
     def connected(self) -> None: ...
     def received(self, data: bytes) -> None: ...
-    def lost(self, why: OSError | None) -> None:
-        """The connection has ended by itself; ``None`` where the peer closed it in good order."""
+    def lost(self, error: OSError | None) -> None:
+        """The connection failed or was closed by the peer; ``error`` is ``None`` after an orderly close.
+
+        Not called for ``Stream.close``.
+        """
 
 
-class _Leaving:
-    """Owns a stream that is finishing: what still comes is thrown away."""
+class _DiscardHandler:
+    """The handler of a stream that is closing: it discards all further input."""
 
-    def __init__(self, closed: Callable[[], None] | None) -> None:
-        self._closed = closed
+    def __init__(self, on_closed: Callable[[], None] | None) -> None:
+        self._on_closed = on_closed
 
     def connected(self) -> None:
         pass
@@ -43,67 +48,80 @@
     def received(self, data: bytes) -> None:
         pass
 
-    def lost(self, _why: OSError | None) -> None:
-        if self._closed is not None:
-            self._closed()
+    def lost(self, _error: OSError | None) -> None:
+        if self._on_closed is not None:
+            self._on_closed()
 
 
-class Unsent:
+class QueuedMessage:
+    """A message in the send queue; ``offset`` counts the bytes already written."""
+
     __slots__ = ("data", "offset", "tag")
 
     def __init__(self, data: bytes, tag: object) -> None:
         self.data, self.tag, self.offset = data, tag, 0
 
 
-def connect(loop: Loop, owner: Owner, address: str) -> Stream:
-    """Begin to connect; an address that can't be tried is reported from the loop, like a refusal."""
+def connect(loop: Loop, handler: StreamHandler, address: str) -> Stream:
+    """Starts to connect; an immediate failure is reported from the event loop, like a refused connection."""
     host, port = parse_address(address)
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
-    stream = Stream(loop, sock, owner, True)
-    number = sock.connect_ex((host, port))
-    if number not in (0, errno.EINPROGRESS):
-        loop.timers.schedule(loop.now, lambda: stream.fail(OSError(number, "connect")))
+    stream = Stream(loop, sock, handler, True)
+    error_number = sock.connect_ex((host, port))
+    if error_number not in (0, errno.EINPROGRESS):
+        loop.timers.schedule(loop.now, lambda: stream.fail(OSError(error_number, "connect")))
     return stream
 
 
 class Stream:
+    """A TCP connection driven by the event loop; events go to its handler."""
+
     def __init__(
-        self, loop: Loop, sock: socket.socket, owner: Owner, connecting: bool = False, limit: int = OUT_LIMIT
+        self,
+        loop: Loop,
+        sock: socket.socket,
+        handler: StreamHandler,
+        connecting: bool = False,
+        max_queued_bytes: int = MAX_QUEUED_BYTES,
     ) -> None:
-        self.loop, self.sock, self.owner = loop, sock, owner
+        self.loop, self.sock, self.handler = loop, sock, handler
         self.connecting = connecting
         self.open = True
         self.closing = False
-        self._out: deque[Unsent] = deque()
-        self._size, self._limit = 0, limit
+        self._queue: deque[QueuedMessage] = deque()
+        self._queued_bytes, self._max_queued_bytes = 0, max_queued_bytes
         self._mask = 0
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, TCP_NOTSENT_LOWAT, NOTSENT_LOWAT)
-        self._watch()
+        self._update_watch()
 
     def send(self, data: bytes, tag: object = None) -> None:
-        """Queue a whole message and write what the peer has room for; ``tag`` names it for ``withdraw``."""
+        """Queues a complete message and writes what the socket accepts.
+
+        ``tag`` identifies the message for ``is_unsent`` and ``discard_unsent``.
+        """
         if not self.open or self.closing:
             return
-        self._out.append(Unsent(data, tag))
-        self._size += len(data)
-        if self._size > self._limit:
-            # From the loop, so that no sender finds its own connection gone in the middle of a turn.
+        self._queue.append(QueuedMessage(data, tag))
+        self._queued_bytes += len(data)
+        if self._queued_bytes > self._max_queued_bytes:
+            # Deferred to the event loop, so that a connection doesn't close while its owner is sending on it.
             self.loop.timers.schedule(
-                self.loop.now, lambda: self.fail(OSError(errno.ENOBUFS, "peer reads nothing"))
+                self.loop.now,
+                lambda: self.fail(OSError(errno.ENOBUFS, "send queue limit exceeded")),
             )
-        elif not self.connecting and len(self._out) == 1:
+        elif not self.connecting and len(self._queue) == 1:
             self._flush()
 
     def is_unsent(self, tag: object) -> bool:
-        """Whether not one byte of the message has been written."""
-        return any(item.tag == tag and item.offset == 0 for item in self._out)
+        """Whether the message is queued and no byte of it has been written."""
+        return any(message.tag == tag and message.offset == 0 for message in self._queue)
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether input waits in the kernel: closing now would destroy it, and what answers it."""
+        """Whether the kernel holds unread input; a close now would discard it and reset the connection."""
         try:
             return self.open and bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
@@ -111,75 +129,78 @@
 
     @property
     def flushed(self) -> bool:
-        return not self._out
+        return not self._queue
 
     def discard_unsent(self, tag: object) -> bool:
-        """Take a message back that is still queued whole; half a message has to be finished."""
-        for item in self._out:
-            if item.tag == tag and item.offset == 0:
-                self._out.remove(item)
-                self._size -= len(item.data)
+        """Removes a queued message unless part of it has been written, which has to be completed."""
+        for message in self._queue:
+            if message.tag == tag and message.offset == 0:
+                self._queue.remove(message)
+                self._queued_bytes -= len(message.data)
                 return True
         return False
 
     def close(self) -> None:
         if self.open:
-            self._shut()
-            self._out.clear()
+            self._close_socket()
+            self._queue.clear()
 
-    def close_gracefully(self, closed: Callable[[], None] | None = None) -> None:
-        """Write what is queued, half-close, and read on until the peer closes, for a last word to it.
+    def close_gracefully(self, on_closed: Callable[[], None] | None = None) -> None:
+        """Writes the queue, half-closes, and discards input until the peer closes.
 
-        Guards against the last word being destroyed: a close with input unread resets the connection, and the
-        reset can overtake what was written before it.  What comes is discarded, for ``LINGER_NS`` at most.
+        Guards against losing the last message to the peer: a close with unread input resets the connection,
+        and the reset can overtake data written before it.  Ends after ``LINGER_TIMEOUT_NS`` at the latest.
         """
         if not self.open or self.connecting or self.closing:
             self.close()
-            if closed is not None:
-                closed()
+            if on_closed is not None:
+                on_closed()
             return
-        self.owner = _Leaving(closed)
+        self.handler = _DiscardHandler(on_closed)
         self.half_close()
 
     def half_close(self) -> None:
-        """As ``finish``, but the owner still gets what comes until the peer closes."""
+        """Like ``close_gracefully``, but the handler still receives the input until the peer closes."""
         if not self.open or self.connecting or self.closing:
             return
         self.closing = True
         self.loop.closing_streams[self] = None
-        if len(self.loop.closing_streams) > MOST_LEAVING:
+        if len(self.loop.closing_streams) > MAX_CLOSING:
             next(iter(self.loop.closing_streams)).fail(None)
-        self.loop.timers.schedule(self.loop.now + LINGER_NS, lambda: self.fail(None))
+        self.loop.timers.schedule(self.loop.now + LINGER_TIMEOUT_NS, lambda: self.fail(None))
         self._flush()
 
-    def fail(self, why: OSError | None) -> None:
-        """End it and tell the owner, once.  The queue stays, so that the owner can ask what never left."""
+    def fail(self, error: OSError | None) -> None:
+        """Closes the connection and notifies the handler, once.
+
+        The queue is cleared afterwards, so that the handler can still ask which messages are unsent.
+        """
         if self.open:
-            self._shut()
-            self.owner.lost(why)
-            self._out.clear()
+            self._close_socket()
+            self.handler.lost(error)
+            self._queue.clear()
 
-    def _shut(self) -> None:
+    def _close_socket(self) -> None:
         self.open = False
         self.loop.closing_streams.pop(self, None)
         self.loop.unwatch(self.sock)
         self.sock.close()
 
-    def _watch(self) -> None:
-        mask = WRITE if self.connecting else READ | (WRITE if self._out else 0)
+    def _update_watch(self) -> None:
+        mask = WRITE if self.connecting else READ | (WRITE if self._queue else 0)
         if mask != self._mask:
             self._mask = mask
-            self.loop.watch(self.sock, mask, self._ready)
+            self.loop.watch(self.sock, mask, self._on_ready)
 
-    def _ready(self, mask: int) -> None:
+    def _on_ready(self, mask: int) -> None:
         try:
             if self.connecting:
-                number = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-                if number:
-                    self.fail(OSError(number, "connect"))
+                error_number = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+                if error_number:
+                    self.fail(OSError(error_number, "connect"))
                     return
                 self.connecting = False
-                self.owner.connected()
+                self.handler.connected()
                 self._flush()
                 return
             if mask & READ:
@@ -187,42 +208,42 @@
             if mask & WRITE and self.open:
                 self._flush()
         except Exception:
-            # Guards against a fault in the handling of one connection ending all others.
-            logger.exception("a connection's handler failed")
-            self.fail(OSError(errno.EPROTO, "handler failed"))
+            # Guards against an error in the handler of one connection ending all others.
+            logger.exception("the handler of a connection raised an exception; closing the connection")
+            self.fail(OSError(errno.EPROTO, "handler raised an exception"))
 
     def _read(self) -> None:
         try:
             data = self.sock.recv(READ_SIZE)
         except BlockingIOError:
             return
-        except OSError as why:
-            self.fail(why)
+        except OSError as error:
+            self.fail(error)
             return
         if data:
-            self.owner.received(data)
+            self.handler.received(data)
         else:
             self.fail(None)
 
     def _flush(self) -> None:
         try:
-            while self._out and self.open:
-                item = self._out[0]
-                item.offset += self.sock.send(memoryview(item.data)[item.offset :])
-                if item.offset < len(item.data):
+            while self._queue and self.open:
+                message = self._queue[0]
+                message.offset += self.sock.send(memoryview(message.data)[message.offset :])
+                if message.offset < len(message.data):
                     break
-                self._out.popleft()
-                self._size -= len(item.data)
+                self._queue.popleft()
+                self._queued_bytes -= len(message.data)
         except BlockingIOError:
             pass
-        except OSError as why:
-            # The read side tells the rest: what the peer said before it broke off is still worth hearing.
-            logger.debug("write failed: {}", why)
-            self.loop.timers.schedule(self.loop.now, partial(self.fail, why))
+        except OSError as error:
+            # Fails later, from the event loop: data that the peer sent before it disconnected is read first.
+            logger.debug("write failed: {}", error)
+            self.loop.timers.schedule(self.loop.now, partial(self.fail, error))
             return
         if not self.open:
             return
-        self._watch()
-        if self.closing and not self._out:
-            with contextlib.suppress(OSError):  # the peer has gone already
+        self._update_watch()
+        if self.closing and not self._queue:
+            with contextlib.suppress(OSError):  # the peer has closed the connection already
                 self.sock.shutdown(socket.SHUT_WR)
--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -259,10 +259,10 @@
                 release(peer, A)
                 tell(peer, binary.RELEASE_ACK, A)
         connection = run.core.backends["binary"].pools[1].connections[0]  # type: ignore[attr-defined]
-        run.until(lambda: set(connection.unheard) == {B})
+        run.until(lambda: set(connection.unacknowledged_releases) == {B})
         peer.reset()
         assert release(desk.desk(), B).call_id == int(B, 16)
-        assert run.look(lambda: A not in connection.unheard)
+        assert run.look(lambda: A not in connection.unacknowledged_releases)
 
 
 def test_a_refused_connection_proves_that_nothing_ran_and_needs_no_pause() -> None:
@@ -354,7 +354,7 @@
 def test_a_drained_connection_stays_until_its_calls_are_over_and_is_closed_then(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(binary_pool, "CALLS_BEFORE_NS", 0)  # no call of a process before this one
+    monkeypatch.setattr(binary_pool, "RESTART_GRACE_NS", 0)  # no call of a process before this one
     desk, bus = Listening(), BusStand()
     with running(target("d1", desk.address, 1), bus=bus.port.address) as run:
         bus.accept()
@@ -506,7 +506,7 @@
 def test_who_says_nothing_or_half_a_message_is_closed_and_who_is_only_quiet_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(sip_frontend, "UNFINISHED_NS", 600_000_000)
+    monkeypatch.setattr(sip_frontend, "MESSAGE_TIMEOUT_NS", 600_000_000)
     desk = Listening()
     with running(target("d1", desk.address, 1)) as run:
         peer, quiet, half = desk.desk(), Caller(run.port), Caller(run.port)
@@ -613,11 +613,11 @@
 
         def age() -> None:
             for caller in front.callers:
-                caller.idle_since -= 2 * sip_frontend.LEFT_IDLE_NS
+                caller.idle_since -= 2 * sip_frontend.EVICTABLE_IDLE_NS
 
         run.look(age)
         fresh = [Caller(run.port) for _ in range(6)]  # nothing said yet
-        run.until(lambda: sum(c.proven for c in front.callers) == 2)
+        run.until(lambda: sum(c.has_sent_request for c in front.callers) == 2)
         for n, caller in enumerate(fresh):
             caller.invite(f"{n:016x}")
             set_up(peer, f"{n:016x}")
@@ -626,9 +626,9 @@
         def close_one() -> tuple[bool, bool]:
             """Between two turns: a set-up of the last holder but one has come and is not read yet."""
             holders[-2].invite(A)
-            stays = next(c for c in front.callers if not c.open_calls)
+            stays = next(c for c in front.callers if not c.pending_calls)
             wait_until(lambda: stays.stream.has_unread_input)
-            return front._close_idlest(), stays.stream.open
+            return front._evict_idle(), stays.stream.open
 
         assert run.look(close_one) == (True, True)
         set_up(peer, A)
