--- a/arrowrail/config/__init__.py
+++ b/arrowrail/config/__init__.py
@@ -1,1 +1,1 @@
-"""An application's configuration: its form, its defaults, and the check that program and tool share."""
+"""Record files: their syntax, schema and defaults, and the checks that the program and the tools share."""
--- a/arrowrail/config/syntax.py
+++ b/arrowrail/config/syntax.py
@@ -1,4 +1,8 @@
-"""One file's text to its entries.  Bounds come first, so that nothing that follows can run away."""
+"""Parses the text of a record file into entries.
+
+Size, line length and nesting depth are checked before parsing, so that hostile input cannot exhaust time or
+memory.
+"""
 
 from __future__ import annotations
 
@@ -33,14 +37,14 @@
     parse_number,
 )  # fmt: skip
 
-MAX_FILE_BYTES = 4 << 20  # bytes: 10,000 lines of inventory are a tenth of it
+MAX_FILE_BYTES = 4 << 20  # ten times the size of an inventory of 10,000 lines
 MAX_LINE_LENGTH = 4096  # characters
-MAX_ALTERNATIVES = 64  # of one value: two that meet are tried pair by pair
+MAX_ALTERNATIVES = 64  # per value: unifying two disjunctions tries every pair of alternatives
 CONTROL = re.compile(r"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f\ufeff]|\r(?!\n)")
 OPEN, CLOSE = "{[(", "}])"
 TOKEN_NAMES = {
     "$END": "the end of the file", "RBRACE": "'}'", "RSQB": "']'", "RPAR": "')'", "_SEP": "a new line or ','",
-    "COLON": "':'", "LBRACE": "'{'", "LSQB": "'['", "NAME": "a name", "STRING": "a text", "DOT": "'.'",
+    "COLON": "':'", "LBRACE": "'{'", "LSQB": "'['", "NAME": "a name", "STRING": "a string", "DOT": "'.'",
     "NUMBER": "a number", "BAR": "'|'", "AMP": "'&'", "BOUND": "a bound", "STAR": "'*'", "LPAR": "'('",
     "INCLUDE": "include", "PATTERN": "[string]",
 }  # fmt: skip
@@ -54,21 +58,23 @@
 
 @dataclass(slots=True)
 class Parsed:
+    """The entries of one file and its includes, which are not loaded yet."""
+
     own: Struct
     scope: Scope
     includes: list[Include] = field(default_factory=list)
-    complete: bool = True  # false: a part of it could not be read
+    complete: bool = True  # false if a part of the file could not be read
 
 
 class _TreeBuilder(Transformer[Token, Any]):
-    """Nodes as the parser finds them: nothing here recurses."""
+    """Builds values while the parser runs, without recursion."""
 
     def __init__(self) -> None:
         super().__init__()
         self.start_file("")
 
     def start_file(self, file: str) -> None:
-        """The next file: one parser, whose tables take a while to make, serves all of them in turn."""
+        """Reset the state for the next file: all files share one parser, as its tables are slow to build."""
         self.file = file
         self.scope = Scope(Struct(Location(file, 1, 1)))
         self.diagnostics: list[DiagnosticError] = []
@@ -79,10 +85,10 @@
     def _text(self, token: Token) -> str:
         try:
             text = json.loads(str(token))
-            text.encode()  # half a surrogate pair can't be written anywhere
+            text.encode()  # rejects lone surrogates, which cannot be encoded
         except ValueError:
             self.diagnostics.append(
-                DiagnosticError("AR107", self._location(token), f"{quote(token)}: a \\ that means nothing")
+                DiagnosticError("AR107", self._location(token), f"{quote(token)}: invalid escape sequence")
             )
             return ""
         return str(text)
@@ -116,17 +122,19 @@
         op, value = children
         location = self._location(op)
         if not isinstance(value, Scalar):
-            self.diagnostics.append(DiagnosticError("AR107", value.location, "a bound takes a plain value"))
+            self.diagnostics.append(DiagnosticError("AR107", value.location, "a bound needs a scalar"))
             return Bottom(location)
         if op == "=~":
             try:
                 pattern = str(value.value)
                 if value.kind != STRING or len(pattern) > MAX_PATTERN_LENGTH or _may_backtrack(pattern):
-                    raise ValueError("no text, too long, a repeated group, or over three repeats")
+                    raise ValueError(
+                        "not a string, too long, a repeated group, a back reference or more than three repeats"
+                    )
                 re.compile(pattern)
             except (re.error, ValueError, OverflowError, RecursionError) as error:
                 self.diagnostics.append(
-                    DiagnosticError("AR107", value.location, f"no pattern: {str(error)[:80]}")
+                    DiagnosticError("AR107", value.location, f"invalid pattern: {str(error)[:80]}")
                 )
                 return Bottom(location)
         return Constraint(location, None, ((str(op), value),))
@@ -146,7 +154,9 @@
         alternatives = [c for c in children if isinstance(c, tuple)]
         if len(alternatives) > MAX_ALTERNATIVES:
             self.diagnostics.append(
-                DiagnosticError("AR106", alternatives[0][1].location, f"over {MAX_ALTERNATIVES} choices")
+                DiagnosticError(
+                    "AR106", alternatives[0][1].location, f"more than {MAX_ALTERNATIVES} alternatives"
+                )
             )
             return None, alternatives[0][1]
         return None, Disjunction(
@@ -154,13 +164,15 @@
         )
 
     def _single_value(self, child: Any) -> Value:
-        """A branch on its own is no choice: a star on it says nothing."""
+        """The value of a single alternative, which cannot be marked as a default."""
         if not isinstance(child, tuple):
             return child  # type: ignore[no-any-return]
         star, value = child
         if star is not None:
             self.diagnostics.append(
-                DiagnosticError("AR107", self._location(star), "'*' marks a default among several values")
+                DiagnosticError(
+                    "AR107", self._location(star), "'*' marks the default of several alternatives"
+                )
             )
         return value  # type: ignore[no-any-return]
 
@@ -174,7 +186,7 @@
         token = children[0]
         name = "[string]" if token.type == "PATTERN" else self._name(token)
         if token.type == "STRING" and name[:1] in ("#", "["):
-            self.diagnostics.append(DiagnosticError("AR217", self._location(token), f"a label {quote(name)}"))
+            self.diagnostics.append(DiagnosticError("AR217", self._location(token), f"label {quote(name)}"))
         return name, self._location(token)
 
     def field(self, children: list[Any]) -> tuple[str, Entry]:
@@ -190,9 +202,9 @@
                 known = struct.pattern
                 struct.pattern = entry.value if known is None else conjoin(known, entry.value)
                 continue
-            before = struct.entries.get(label)
-            if before is not None:
-                entry = Entry(before.location, conjoin(before.value, entry.value))
+            duplicate = struct.entries.get(label)
+            if duplicate is not None:
+                entry = Entry(duplicate.location, conjoin(duplicate.value, entry.value))
             struct.entries[label] = entry
         return struct
 
@@ -209,7 +221,7 @@
 
 
 def _may_backtrack(pattern: str) -> bool:
-    """Repeated groups and back references can take time that doubles with each character."""
+    """Whether matching may take exponential time: repeated groups, back references or over three repeats."""
     return re.search(r"\)[*+{?]|\\[0-9]", pattern) is not None or len(re.findall(r"[*+{]", pattern)) > 3
 
 
@@ -221,7 +233,7 @@
 
 
 def decode(file: str, raw: bytes, diagnostics: Diagnostics) -> str | None:
-    """The text, within the bounds; ``None`` and a fault where it can't be taken."""
+    """Decode a file and check its limits; ``None`` after a fault."""
     if len(raw) > MAX_FILE_BYTES:
         diagnostics.add("AR104", Location(file), "", f"{len(raw)} bytes, {MAX_FILE_BYTES} at most")
         return None
@@ -252,7 +264,7 @@
 
 
 def _check_nesting(file: str, text: str, diagnostics: Diagnostics) -> bool:
-    """Whether brackets and labels stay within the depth, and close in the order in which they open."""
+    """Whether brackets match and the depth of brackets and chained labels is within the limit."""
     brackets: list[tuple[str, Location]] = []
     for line_number, line in enumerate(text.split("\n"), 1):
         in_string = escaped = False
@@ -283,7 +295,7 @@
                         "AR107",
                         Location(file, line_number, column),
                         "",
-                        f"{char!r} closes {opening!r} of line {location.line}",
+                        f"{char!r} does not match {opening!r} of line {location.line}",
                         other=location,
                     )
                     return False
@@ -297,26 +309,26 @@
                 "AR107",
                 Location(file, line_number, string_column),
                 "",
-                "a text is never closed",
+                "unterminated string",
                 "close it with '\"' on the same line",
             )
             return False
     if brackets:
         opening, location = brackets[-1]
         diagnostics.add(
-            "AR107", location, "", f"{opening!r} is never closed", f"add {CLOSE[OPEN.index(opening)]!r}"
+            "AR107", location, "", f"{opening!r} is not closed", f"add {CLOSE[OPEN.index(opening)]!r}"
         )
         return False
     return True
 
 
 def parse(file: str, raw: bytes, diagnostics: Diagnostics) -> Parsed:
-    """A file's entries; where a part can't be read, the faults name its place and ``whole`` is false."""
+    """Parse a file; if a part cannot be read, the faults give its location and ``complete`` is false."""
     text = decode(file, raw, diagnostics)
     if text is None:
         return _unreadable(file)
     if text.count("|") + text.count("&") > 20_000:
-        diagnostics.add("AR106", Location(file), "", "more than 20000 choices and constraints")
+        diagnostics.add("AR106", Location(file), "", "more than 20000 '|' and '&' operators")
         return _unreadable(file)
     parser, builder = _parser()
     builder.start_file(file)
@@ -326,13 +338,13 @@
         diagnostics.add("AR107", *_describe_syntax_error(file, text, error))
         return _unreadable(file)
     except RecursionError:
-        diagnostics.add("AR106", Location(file), "", "deeper than it can be read")
+        diagnostics.add("AR106", Location(file), "", "nested too deeply for the parser")
         return _unreadable(file)
     except LarkError as error:
         diagnostics.add("AR107", Location(file, 1, 1), "", str(error).splitlines()[0][:80])
         return _unreadable(file)
-    for fault in builder.diagnostics:
-        diagnostics.add(fault.code, fault.location, "", fault.message, other=fault.other)
+    for found in builder.diagnostics:
+        diagnostics.add(found.code, found.location, "", found.message, other=found.other)
     return parsed  # type: ignore[no-any-return]
 
 
@@ -348,15 +360,15 @@
     lines = text.split("\n")
     rest = lines[line - 1][column - 1 :] if line <= len(lines) else ""
     expected = getattr(error, "accepts", None) or getattr(error, "allowed", None) or ()
-    names = sorted({TOKEN_NAMES.get(str(w), str(w).lower()) for w in expected} - {""})
+    names = sorted({TOKEN_NAMES.get(str(token), str(token).lower()) for token in expected} - {""})
     found = quote(rest.split(" ")[0]) if rest.strip() else "the end of the line"
     remedy = ("expected here: " + ", ".join(names[:8])) if names else ""
     if rest.startswith("="):
         remedy = "a value follows ':', not '='"
     elif rest.startswith('"'):
-        remedy = "close the text with '\"' on the same line"
+        remedy = "close the string with '\"' on the same line"
     elif rest.startswith("'"):
-        remedy = 'texts stand between "'
+        remedy = 'strings are quoted with "'
     elif rest.startswith("#"):
-        remedy = "a note begins with //"
-    return Location(file, line, max(1, column)), "", f"not expected: {found}", remedy
+        remedy = "a comment begins with //"
+    return Location(file, line, max(1, column)), "", f"unexpected {found}", remedy
--- a/arrowrail/config/units.py
+++ b/arrowrail/config/units.py
@@ -1,6 +1,6 @@
-"""Quantities: a figure and its unit, read exactly and written back in the largest unit that fits.
+"""Quantities: a number with a unit, parsed exactly and formatted in the largest unit that divides it.
 
-Durations are whole nanoseconds, rates are events a second, shares are parts of one, sizes are bytes.
+Durations are whole nanoseconds, rates are events per second, shares are fractions of one, sizes are bytes.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     DURATION: dict(DURATIONS), RATE: dict(RATES), SHARE: dict(SHARES), SIZE: dict(SIZES),
 }  # fmt: skip
 UNIT_KINDS = {unit: kind for kind, units in UNITS.items() for unit in units}
-MAX_NUMBER_LENGTH = 20  # characters: more than any quantity needs
+MAX_NUMBER_LENGTH = 20  # characters; more than any quantity needs
 NUMBER = re.compile(r"(-?[0-9][0-9_]*(?:\.[0-9]+)?)(.*)", re.DOTALL)
 
 
 class UnitError(ValueError):
-    """A figure that is none, or a unit that is not known; the text says which."""
+    """Malformed number or unknown unit."""
 
 
 def unit_names(kind: str) -> str:
@@ -33,21 +33,21 @@
 
 
 def read(text: str) -> tuple[str, int | float | Fraction]:
-    """A figure as written: its kind and value.
+    """Parse a number with an optional unit into its kind and its value in the base unit.
 
-    Without a unit the kind is ``int`` or ``float``.  ``UnitError`` on an unknown unit, or on a figure that
-    is longer than 20 characters or no whole number of the smallest unit.
+    Without a unit the kind is ``int`` or ``float``.  Raises ``UnitError`` if the unit is unknown, the number
+    is malformed or longer than 20 characters, or a duration or size is not a whole number of base units.
     """
     match = NUMBER.fullmatch(text)
     if match is None or len(match[1]) > MAX_NUMBER_LENGTH:
-        raise UnitError("no figure")
+        raise UnitError("not a number")
     number, unit = match[1].replace("_", ""), match[2]
     if not unit:
         return ("float", float(number)) if "." in number else ("int", int(number))
     kind = UNIT_KINDS.get(unit)
     if kind is None:
         known = ", ".join(UNIT_KINDS)
-        raise UnitError(f"unit {unit[:20]!r}; known: {known}")
+        raise UnitError(f"unknown unit {unit[:20]!r}; known: {known}")
     value = Fraction(number) * UNITS[kind][unit]
     if kind in (DURATION, SIZE):
         if value.denominator != 1:
@@ -57,13 +57,13 @@
 
 
 def write(kind: str, value: int | float | Fraction) -> str:
-    """The shortest spelling that reads back as the same value."""
+    """Format a value in the largest unit that divides it; a rate in the first that gives a finite decimal."""
     if kind == SHARE:
         return _format_number(Fraction(value) * 100) + "%"
     if kind == RATE:
         for unit in ("/s", "/min", "/h"):
             number = Fraction(value) / RATES[unit]
-            if _finite(number):
+            if _is_finite_decimal(number):
                 return _format_number(number) + unit
         return f"{float(value):.3f}/s"
     if kind in (DURATION, SIZE):
@@ -75,7 +75,8 @@
     return str(value)
 
 
-def _finite(number: Fraction) -> bool:
+def _is_finite_decimal(number: Fraction) -> bool:
+    """Whether the number has a finite decimal expansion and a denominator of at most a million."""
     rest = number.denominator
     for prime in (2, 5):
         while rest % prime == 0:
--- a/arrowrail/config/values.py
+++ b/arrowrail/config/values.py
@@ -1,8 +1,8 @@
-"""Values of the operator's records and how two of them become one.  No I/O.
+"""Value types of record files and their unification.  No I/O.
 
-A value is concrete (a scalar, a list, a struct), a constraint, a choice, or something that has to be worked
-out first (a reference, a meeting of several).  Unification keeps what both sides say; where they exclude one
-another nothing wins, and the fault names both places.  The order of files and entries changes nothing.
+A value is concrete (scalar, list, struct), a constraint, a disjunction, or unresolved (reference,
+conjunction).  Unification is commutative: the order of files and entries does not matter.  Neither of two
+conflicting values takes precedence; the diagnostic names both locations.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
     "string": (STRING,), "int": (INT,), "number": (INT, FLOAT), "bool": (BOOL,), "null": (NULL,),
     "duration": (units.DURATION,), "rate": (units.RATE,), "share": (units.SHARE,), "size": (units.SIZE,),
 }  # fmt: skip
-MAX_NESTING_DEPTH = 48  # of structs, lists and choices inside one another
-MAX_PATTERN_LENGTH = 200  # characters of a pattern
-MAX_REFERENCE_DEPTH = 80  # references that lead to one another
+MAX_NESTING_DEPTH = 48  # levels of structs and lists inside one another
+MAX_PATTERN_LENGTH = 200  # characters of a regular expression
+MAX_REFERENCE_DEPTH = 80  # references and conjunctions resolved inside one another
 
 
 @dataclass(slots=True)
@@ -42,10 +42,10 @@
 
 @dataclass(slots=True)
 class Constraint:
-    """Types that are allowed, and bounds; a value has to keep all of them."""
+    """Allowed kinds and bounds; a value has to satisfy all of them."""
 
     location: Location
-    kinds: tuple[str, ...] | None = None  # None: any
+    kinds: tuple[str, ...] | None = None  # None: any kind
     bounds: tuple[tuple[str, Scalar], ...] = ()
 
     def __str__(self) -> str:
@@ -62,44 +62,50 @@
 
 @dataclass(slots=True)
 class Entry:
-    location: Location  # of its label
+    location: Location  # of the label
     value: Value
 
 
 @dataclass(slots=True)
 class Struct:
+    """Labelled entries; labels that start with ``#`` are definitions, with ``_`` hidden entries."""
+
     location: Location
     entries: dict[str, Entry] = field(default_factory=dict)
-    pattern: Value | None = None  # holds for every entry
+    pattern: Value | None = None  # unified with the value of every public entry
     _labels: frozenset[str] | None = None
 
     def labels(self) -> frozenset[str]:
-        """The labels of public entries; asked once the struct is complete."""
+        """The labels of public entries, cached: call it only when all entries have been added."""
         if self._labels is None or len(self._labels) > len(self.entries):
             self._labels = frozenset(label for label, _ in self.public())
         return self._labels
 
     def public(self) -> Iterator[tuple[str, Entry]]:
-        """The entries without templates (``#name``) and notes (``_name``)."""
-        return ((k, e) for k, e in self.entries.items() if k[:1] not in ("#", "_"))
+        """The entries without definitions (``#name``) and hidden entries (``_name``)."""
+        return ((label, entry) for label, entry in self.entries.items() if label[:1] not in ("#", "_"))
 
 
 @dataclass(slots=True)
 class Disjunction:
+    """Several alternatives, of which some may be marked as the default."""
+
     location: Location
-    alternatives: tuple[tuple[bool, Value], ...]  # whether it is the default
+    alternatives: tuple[tuple[bool, Value], ...]  # (is default, value)
 
 
 @dataclass(slots=True)
 class Scope:
-    """The root that references of one file are looked up in: the file and all that it includes."""
+    """The root in which references of a file are resolved: the file merged with everything it includes."""
 
     root: Struct
-    complete: bool = True  # false: some of it could not be read, so what is missing proves nothing
+    complete: bool = True  # false if a part could not be read: a missing entry is then not an error
 
 
 @dataclass(slots=True)
 class Reference:
+    """A dotted path to another value; ``resolved`` caches the result."""
+
     location: Location
     path: tuple[str, ...]
     scope: Scope
@@ -112,6 +118,8 @@
 
 @dataclass(slots=True)
 class Conjunction:
+    """Values that have to be unified; ``resolved`` caches the result."""
+
     location: Location
     parts: tuple[Value, ...]
     resolved: Value | None = None
@@ -120,7 +128,7 @@
 
 @dataclass(slots=True)
 class Bottom:
-    """What a fault was told of already: it takes part in nothing further."""
+    """An invalid value that has been reported; it causes no further diagnostics."""
 
     location: Location
 
@@ -129,27 +137,27 @@
 
 
 class DiagnosticError(Exception):
+    """Carries one diagnostic up to the code that knows the key path."""
+
     def __init__(self, code: str, location: Location, message: str, other: Location | None = None) -> None:
         super().__init__(message)
         self.code, self.location, self.message, self.other = code, location, message, other
 
 
 def conjoin(one: Value, other: Value) -> Value:
-    """Both at once; worked out when it is read, so that references may lead anywhere."""
+    """The conjunction of two values, unified only when it is read, so that references may point anywhere."""
     parts = (*(one.parts if isinstance(one, Conjunction) else (one,)), other)
     return Conjunction(one.location, parts)
 
 
 def merge_structs(one: Struct, other: Struct) -> Struct:
-    """A new struct with the entries of both; only labels that stand in both are touched."""
+    """A new struct with the entries of both; entries present in both are conjoined."""
     if not other.entries and other.pattern is None:
         return one
     entries = dict(one.entries)
     for label, entry in other.entries.items():
-        before = entries.get(label)
-        entries[label] = (
-            entry if before is None else Entry(before.location, conjoin(before.value, entry.value))
-        )
+        known = entries.get(label)
+        entries[label] = entry if known is None else Entry(known.location, conjoin(known.value, entry.value))
     pattern = one.pattern
     if other.pattern is not None:
         pattern = other.pattern if pattern is None else conjoin(pattern, other.pattern)
@@ -157,20 +165,20 @@
 
 
 def resolve(value: Value, diagnostics: Diagnostics, key_path: str = "") -> Value:
-    """Work references and meetings out, down to a scalar, list, struct, constraint or choice."""
+    """Resolve references and conjunctions to a scalar, list, struct, constraint, disjunction or bottom."""
     if not isinstance(value, Reference | Conjunction):
         return value
     if value.resolved is not None:
         return value.resolved
     if value.resolving:
-        diagnostics.add("AR209", value.location, key_path, "it leads back to itself")
+        diagnostics.add("AR209", value.location, key_path, "circular reference")
         return Bottom(value.location)
     if diagnostics.depth >= MAX_REFERENCE_DEPTH:
         diagnostics.add(
             "AR106",
             value.location,
             key_path,
-            f"more than {MAX_REFERENCE_DEPTH} references behind one another",
+            f"more than {MAX_REFERENCE_DEPTH} nested references",
         )
         return Bottom(value.location)
     value.resolving = True
@@ -196,20 +204,23 @@
     return result
 
 
-def _resolve_reference(ref: Reference, diagnostics: Diagnostics, key_path: str) -> Value:
-    current: Value = ref.scope.root
-    for step, name in enumerate(ref.path):
+def _resolve_reference(reference: Reference, diagnostics: Diagnostics, key_path: str) -> Value:
+    current: Value = reference.scope.root
+    for step, name in enumerate(reference.path):
         current = resolve(current, diagnostics, key_path)
         if isinstance(current, Bottom):
-            return Bottom(ref.location)
+            return Bottom(reference.location)
         entry = current.entries.get(name) if isinstance(current, Struct) else None
         if entry is None:
-            if not ref.scope.complete:
-                return Bottom(ref.location)
+            if not reference.scope.complete:
+                return Bottom(reference.location)
             known_labels = current.entries if isinstance(current, Struct) else ()
-            so_far = ".".join(ref.path[:step]) or "the file and what it includes"
-            raise DiagnosticError("AR208", ref.location, f"{quote(ref)}: no {quote(name)} in {so_far}; "
-                           + suggestion(name, known_labels))  # fmt: skip
+            parent = ".".join(reference.path[:step]) or "the file or its includes"
+            raise DiagnosticError(
+                "AR208",
+                reference.location,
+                f"{quote(reference)}: no {quote(name)} in {parent}; " + suggestion(name, known_labels),
+            )
         inner: Value = entry.value
         if isinstance(current, Struct) and current.pattern is not None and name[:1] not in ("#", "_"):
             inner = conjoin(inner, current.pattern)
@@ -218,7 +229,7 @@
 
 
 def unify(one: Value, other: Value, diagnostics: Diagnostics, key_path: str = "") -> Value:
-    """What both say; ``Conflict`` where they exclude one another.  Both are worked out already."""
+    """Unify two resolved values; raises ``DiagnosticError`` if they conflict."""
     if isinstance(one, Bottom) or isinstance(other, Bottom):
         return one if isinstance(one, Bottom) else other
     if isinstance(one, Disjunction):
@@ -229,7 +240,7 @@
         return merge_structs(one, other)
     if isinstance(one, ListValue) and isinstance(other, ListValue):
         if len(one.items) != len(other.items):
-            raise DiagnosticError("AR201", other.location, "two lists of different length", one.location)
+            raise DiagnosticError("AR201", other.location, "two lists of different lengths", one.location)
         items = tuple(conjoin(a, b) for a, b in zip(one.items, other.items, strict=True))
         return ListValue(one.location, items)
     if isinstance(one, Constraint) and isinstance(other, Constraint):
@@ -252,7 +263,7 @@
 def _unify_disjunction(
     disjunction: Disjunction, other: Value, diagnostics: Diagnostics, key_path: str
 ) -> Value:
-    """The branches that go together with the other value; a default stays one where it does."""
+    """The alternatives that unify with the other value; default marks are kept."""
     compatible: list[tuple[bool, Value]] = []
     first_error: DiagnosticError | None = None
     others = other.alternatives if isinstance(other, Disjunction) else ((True, other),)
@@ -274,7 +285,8 @@
                     compatible.append((both_default, both))
     if not compatible:
         options = " | ".join(
-            describe(resolve(b, diagnostics, key_path)) for _, b in disjunction.alternatives[:6]
+            describe(resolve(alternative, diagnostics, key_path))
+            for _, alternative in disjunction.alternatives[:6]
         )
         location = other.location
         code = (
@@ -306,11 +318,13 @@
 
 
 def check_constraint(scalar: Scalar, constraint: Constraint) -> None:
-    """``Conflict`` where the value breaks the constraint."""
+    """Raise ``DiagnosticError`` if the value violates the constraint."""
     if constraint.kinds is not None and scalar.kind not in constraint.kinds:
-        wanted = " or ".join(constraint.kinds)
+        allowed = " or ".join(constraint.kinds)
         code = "AR203" if scalar.kind in (INT, FLOAT) and _takes_unit(constraint.kinds) else "AR202"
-        raise DiagnosticError(code, scalar.location, f"{scalar} is no {wanted}", constraint.location)
+        raise DiagnosticError(
+            code, scalar.location, f"{scalar} is not of type {allowed}", constraint.location
+        )
     for op, bound in constraint.bounds:
         if not _satisfies(scalar, op, bound):
             raise DiagnosticError(
@@ -331,47 +345,54 @@
         return not comparable or bool(scalar.value != bound.value)
     if not comparable or scalar.kind in (BOOL, NULL):
         raise DiagnosticError(
-            "AR202", scalar.location, f"{scalar} can't be compared with {bound}", bound.location
+            "AR202", scalar.location, f"{scalar} cannot be compared with {bound}", bound.location
         )
-    low, high = scalar.value, bound.value
+    value, limit = scalar.value, bound.value
     if op == ">=":
-        return bool(low >= high)
+        return bool(value >= limit)
     if op == "<=":
-        return bool(low <= high)
-    return bool(low > high) if op == ">" else bool(low < high)
+        return bool(value <= limit)
+    return bool(value > limit) if op == ">" else bool(value < limit)
 
 
 def concrete_value(
     value: Value, diagnostics: Diagnostics, key_path: str
 ) -> Scalar | ListValue | Struct | Bottom:
-    """The one value that is left: the only one, or the default; a fault where there is none."""
+    """The single concrete value: the only one or the default; reports a fault if there is none."""
     found = resolve(value, diagnostics, key_path)
     if isinstance(found, Disjunction):
         defaults = [alternative for default, alternative in found.alternatives if default]
         if len(defaults) == 1:
             return concrete_value(defaults[0], diagnostics, key_path)
-        options = " | ".join(describe(resolve(b, diagnostics, key_path)) for _, b in found.alternatives[:6])
+        options = " | ".join(
+            describe(resolve(alternative, diagnostics, key_path)) for _, alternative in found.alternatives[:6]
+        )
         diagnostics.add(
-            "AR210", found.location, key_path, f"{options} leaves {len(found.alternatives)} values"
+            "AR210", found.location, key_path, f"{options}: {len(found.alternatives)} alternatives remain"
         )
         return Bottom(found.location)
     if isinstance(found, Constraint):
-        diagnostics.add("AR210", found.location, key_path, f"{found} is a constraint and no value")
+        diagnostics.add("AR210", found.location, key_path, f"{found} is a constraint, not a value")
         return Bottom(found.location)
     assert not isinstance(found, Reference | Conjunction)
     return found
 
 
 def describe(value: Value) -> str:
-    """A value in a message."""
+    """A short description of a value for messages."""
     if isinstance(value, Scalar | Constraint | Reference):
         return str(value)
-    names = {ListValue: "a list", Struct: "a record", Disjunction: "a choice", Conjunction: "several values"}
+    names = {
+        ListValue: "a list",
+        Struct: "a record",
+        Disjunction: "several alternatives",
+        Conjunction: "several values",
+    }
     return names.get(type(value), "nothing")
 
 
 def parse_number(text: str, location: Location) -> Scalar:
-    """A figure as written, with its unit; ``Conflict`` where its unit is not known."""
+    """Parse a number with an optional unit; raises ``DiagnosticError`` if it is malformed."""
     try:
         kind, value = units.read(text)
     except units.UnitError as error:
@@ -380,7 +401,7 @@
 
 
 def plain_data(value: Value, diagnostics: Diagnostics) -> object:
-    """A value as plain data, for printing: quantities as their text, defaults chosen."""
+    """A value as plain Python data for printing: quantities as text, disjunctions by their default."""
     found = concrete_value(value, diagnostics, "")
     if isinstance(found, Scalar):
         quantity = isinstance(found.value, Fraction) or found.kind in units.UNITS
