--- a/arrowrail/config/checker.py
+++ b/arrowrail/config/checker.py
@@ -63,7 +63,7 @@
                         f"{name} is missing: {TABLE_KEYS[name].doc}",
                     )
                 return None
-            read = TABLE_KEYS[name].kind.read(values[name], context, name)
+            read = TABLE_KEYS[name].value_type.read(values[name], context, name)
             return None if read is INVALID else read
 
         pools = table("pool") or {}
@@ -85,7 +85,7 @@
     def application(self, loaded: LoadedFile) -> tuple[dict[str, Application], Inventory]:
         inventory = self.inventory(loaded)
         context = ReadContext(self.diagnostics, loaded.root, loaded.complete)
-        read = TABLE_KEYS["application"].kind.read(
+        read = TABLE_KEYS["application"].value_type.read(
             loaded.root.entries["application"].value, context, "application"
         )
         applications = {} if read is INVALID else read
--- a/arrowrail/config/explain.py
+++ b/arrowrail/config/explain.py
@@ -49,15 +49,15 @@
 def default_of(key: Key) -> str:
     if key.default is REQUIRED:
         return "none: it has to be given"
-    if isinstance(key.kind, RecordOf | MapOf):
-        return "the defaults of its own keys" if isinstance(key.kind, RecordOf) else "none in it"
+    if isinstance(key.value_type, RecordOf | MapOf):
+        return "the defaults of its own keys" if isinstance(key.value_type, RecordOf) else "none in it"
     if key.default is None:
         return "absent"
-    return key.kind.format(key.default)
+    return key.value_type.format(key.default)
 
 
 def _lines(path: str, key: Key) -> list[str]:
-    return [f"{path}: {key.doc}.", f"  value: {key.kind.describe()}", f"  default: {default_of(key)}"]
+    return [f"{path}: {key.doc}.", f"  value: {key.value_type.describe()}", f"  default: {default_of(key)}"]
 
 
 def reference() -> str:
@@ -72,7 +72,7 @@
         "| --- | --- | --- | --- |",
     ]
     for path, key in all_keys().items():
-        says = key.kind.describe().replace("|", "\\|")
+        says = key.value_type.describe().replace("|", "\\|")
         lines.append(f"| `{path}` | {key.doc} | {says} | {default_of(key).replace('|', chr(92) + '|')} |")
     lines += ["", "## Codes", "", "| code | what | why it hurts | what to do |", "| --- | --- | --- | --- |"]
     for name, code in CODES.items():
--- a/arrowrail/config/schema.py
+++ b/arrowrail/config/schema.py
@@ -1,7 +1,7 @@
-"""The one schema: kinds of values, and records made of keys.
+"""Schema of record files: value types, and records made of keys.
 
-A record is a frozen dataclass whose fields carry their kind, default and meaning.  The checker, the writer,
-the start of the program and the reference page all read these fields; nothing says them a second time.
+A record is a frozen dataclass whose fields carry their value type, default and documentation.  The checker,
+the writer, the program and the reference page all read this one definition.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 
 NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}")
 MAX_ITEMS = 100_000
-INVALID: Any = object()  # told of already
+INVALID: Any = object()  # result for a value whose fault has been reported
 REQUIRED: Any = object()
 NO_LOCATION = Location("")
 
 
 @dataclass(slots=True)
 class ReadContext:
-    """What reading needs to know: where to report, and the tables that references are looked up in."""
+    """Where faults are reported and in which tables references are looked up."""
 
     diagnostics: Diagnostics
     root: Struct
-    complete: bool = True
+    complete: bool = True  # false if a part could not be read: a missing name is then not an error
 
     def table(self, name: str) -> Struct | None:
         entry = self.root.entries.get(name)
@@ -55,31 +55,30 @@
 
 
 class ValueType:
-    """One kind of value: how it is read, said, and written."""
+    """A type of setting values: how they are read, described and formatted."""
 
     name = "value"
 
     def read(self, value: Value, context: ReadContext, key_path: str) -> Any:
-        """The value as the program uses it, or ``BAD`` after a fault."""
+        """The value as the program uses it, or ``INVALID`` after a fault."""
         found = concrete_value(value, context.diagnostics, key_path)
         return INVALID if isinstance(found, Bottom) else self.convert(found, context, key_path)
 
     def convert(self, found: Scalar | ListValue | Struct, context: ReadContext, key_path: str) -> Any:
+        """Convert a concrete value; returns ``INVALID`` after a fault."""
         raise NotImplementedError
 
     def describe(self) -> str:
-        """What is allowed, for messages and the reference page."""
+        """The allowed values, for messages and the reference page."""
         return self.name
 
     def format(self, value: Any) -> str:
-        """The value as it stands in a file."""
+        """The value as written in a record file."""
         raise NotImplementedError
 
     def report_wrong_type(self, found: Any, context: ReadContext, key_path: str) -> Any:
         what = str(found) if isinstance(found, Scalar) else type(found).__name__.lower().replace("value", "")
-        context.diagnostics.add(
-            "AR202", found.location, key_path, f"{what}, where {self.describe()} is wanted"
-        )
+        context.diagnostics.add("AR202", found.location, key_path, f"{what}, expected {self.describe()}")
         return INVALID
 
 
@@ -87,17 +86,17 @@
     def __init__(self, low: Any = None, high: Any = None) -> None:
         self.low, self.high = low, high
 
-    def text(self, value: Any) -> str:
+    def format_bound(self, value: Any) -> str:
         return str(value)
 
     def describe(self) -> str:
         if self.low is None and self.high is None:
             return self.name
         if self.high is None:
-            return f"{self.name}, {self.text(self.low)} or more"
+            return f"{self.name}, {self.format_bound(self.low)} or more"
         if self.low is None:
-            return f"{self.name}, {self.text(self.high)} at most"
-        return f"{self.name}, {self.text(self.low)} to {self.text(self.high)}"
+            return f"{self.name}, {self.format_bound(self.high)} at most"
+        return f"{self.name}, {self.format_bound(self.low)} to {self.format_bound(self.high)}"
 
     def check_range(self, value: Any, found: Scalar, context: ReadContext, key_path: str) -> Any:
         if (self.low is not None and value < self.low) or (self.high is not None and value > self.high):
@@ -106,7 +105,7 @@
         return value
 
     def format(self, value: Any) -> str:
-        return self.text(value)
+        return self.format_bound(value)
 
 
 class Integer(_Ranged):
@@ -116,7 +115,7 @@
         if not isinstance(found, Scalar) or found.kind not in (INT,):
             if isinstance(found, Scalar) and found.kind in units.UNITS:
                 context.diagnostics.add(
-                    "AR204", found.location, key_path, f"{found}, where {self.describe()}, no unit, is wanted"
+                    "AR204", found.location, key_path, f"{found}, expected {self.describe()} without a unit"
                 )
                 return INVALID
             return self.report_wrong_type(found, context, key_path)
@@ -130,7 +129,7 @@
         if not isinstance(found, Scalar) or found.kind not in (INT, FLOAT):
             if isinstance(found, Scalar) and found.kind in units.UNITS:
                 context.diagnostics.add(
-                    "AR204", found.location, key_path, f"{found}, where {self.describe()}, no unit, is wanted"
+                    "AR204", found.location, key_path, f"{found}, expected {self.describe()} without a unit"
                 )
                 return INVALID
             return self.report_wrong_type(found, context, key_path)
@@ -141,14 +140,14 @@
 
 
 class Quantity(_Ranged):
-    """A figure with its unit: durations in ns, rates in events a second, shares of 1, sizes in bytes."""
+    """A number with a unit: durations in ns, rates in events per second, shares of 1, sizes in bytes."""
 
     def __init__(self, kind: str, low: Any = None, high: Any = None) -> None:
         super().__init__(low, high)
         self.kind = kind
         self.name = f"a {kind}"
 
-    def text(self, value: Any) -> str:
+    def format_bound(self, value: Any) -> str:
         return units.write(self.kind, value)
 
     def convert(self, found: Scalar | ListValue | Struct, context: ReadContext, key_path: str) -> Any:
@@ -162,7 +161,7 @@
                 found.location,
                 key_path,
                 f"{found} has no unit",
-                f"write one of {units.unit_names(self.kind)} behind it",
+                f"append one of {units.unit_names(self.kind)}",
             )
             return INVALID
         if found.kind in units.UNITS:
@@ -170,7 +169,7 @@
                 "AR204",
                 found.location,
                 key_path,
-                f"{found} is a {found.kind}, no {self.kind}",
+                f"{found} is a {found.kind}, not a {self.kind}",
                 f"use one of {units.unit_names(self.kind)}",
             )
             return INVALID
@@ -192,15 +191,15 @@
 class String(ValueType):
     name = "a text"
 
-    def __init__(self, most: int = 256) -> None:
-        self.most = most
+    def __init__(self, max_length: int = 256) -> None:
+        self.max_length = max_length
 
     def convert(self, found: Scalar | ListValue | Struct, context: ReadContext, key_path: str) -> Any:
         if not isinstance(found, Scalar) or found.kind != STRING:
             return self.report_wrong_type(found, context, key_path)
-        if len(found.value) > self.most:
+        if len(found.value) > self.max_length:
             context.diagnostics.add(
-                "AR205", found.location, key_path, f"{len(found.value)} characters; {self.most} at most"
+                "AR205", found.location, key_path, f"{len(found.value)} characters; {self.max_length} at most"
             )
             return INVALID
         return self.validate(str(found.value), found, context, key_path)
@@ -216,7 +215,7 @@
     def __init__(self, *options: str) -> None:
         super().__init__()
         self.options = options
-        self.name = "one of " + ", ".join(f'"{o}"' for o in options)
+        self.name = "one of " + ", ".join(f'"{option}"' for option in options)
 
     def validate(self, text: str, found: Scalar, context: ReadContext, key_path: str) -> Any:
         if text in self.options:
@@ -231,16 +230,16 @@
     name = "digits 0-9 and A-E"
 
     def validate(self, text: str, found: Scalar, context: ReadContext, key_path: str) -> Any:
-        if text and len(text) <= 32 and all(d in DIGITS for d in text):
+        if text and len(text) <= 32 and all(digit in DIGITS for digit in text):
             return text
         context.diagnostics.add(
-            "AR202", found.location, key_path, f"{quote(text)} is no prefix of {self.name}"
+            "AR202", found.location, key_path, f"{quote(text)} does not consist of {self.name}"
         )
         return INVALID
 
 
 class DigitPrefix(DigitString):
-    """Digits, or nothing for every number."""
+    """A prefix of numbers; the empty one matches every number."""
 
     def validate(self, text: str, found: Scalar, context: ReadContext, key_path: str) -> Any:
         return text if text == "" else super().validate(text, found, context, key_path)
@@ -259,16 +258,19 @@
         if valid:
             return text
         context.diagnostics.add(
-            "AR213", found.location, key_path, f"{quote(text)}; a host, ':' and a port from 1 to 65535"
+            "AR213",
+            found.location,
+            key_path,
+            f"{quote(text)}; expected a host, ':' and a port from 1 to 65535",
         )
         return INVALID
 
 
 class TableRef(ValueType):
-    """The name of an entry of a table, as ``table.name`` or as a text."""
+    """The name of a table entry, as the reference ``table.name`` or as a string."""
 
-    def __init__(self, table: str, missing: str = "AR208") -> None:
-        self.table, self.missing = table, missing
+    def __init__(self, table: str, missing_code: str = "AR208") -> None:
+        self.table, self.missing_code = table, missing_code
         self.name = f"a reference like {table}.NAME"
 
     def read(self, value: Value, context: ReadContext, key_path: str) -> Any:
@@ -292,7 +294,7 @@
         if name not in known:
             if context.complete:
                 context.diagnostics.add(
-                    self.missing,
+                    self.missing_code,
                     location,
                     key_path,
                     f"no {self.table} {quote(name)}; {suggestion(name, known)}",
@@ -305,33 +307,36 @@
         return (
             f"{self.table}.{name}"
             if re.fullmatch(r"[A-Za-z_][A-Za-z0-9_-]*", name)
-            else (f'{self.table}."{name}"')
+            else f'{self.table}."{name}"'
         )
 
 
 class ListOf(ValueType):
-    """Several values of one kind, each once; a tuple."""
+    """A list of distinct values of one type, read as a tuple."""
 
-    def __init__(self, kind: ValueType, min_items: int = 0, most: int = 10_000) -> None:
-        self.kind, self.min_items, self.most = kind, min_items, most
-        self.name = f"a list of: {kind.describe()}"
+    def __init__(self, item_type: ValueType, min_items: int = 0, max_items: int = 10_000) -> None:
+        self.item_type, self.min_items, self.max_items = item_type, min_items, max_items
+        self.name = f"a list of: {item_type.describe()}"
 
     def convert(self, found: Scalar | ListValue | Struct, context: ReadContext, key_path: str) -> Any:
         if not isinstance(found, ListValue):
             return self.report_wrong_type(found, context, key_path)
-        if not self.min_items <= len(found.items) <= self.most:
+        if not self.min_items <= len(found.items) <= self.max_items:
             code = "AR216" if len(found.items) < self.min_items else "AR205"
             context.diagnostics.add(
-                code, found.location, key_path, f"{len(found.items)} values; {self.min_items} to {self.most}"
+                code,
+                found.location,
+                key_path,
+                f"{len(found.items)} values; {self.min_items} to {self.max_items}",
             )
             return INVALID
         items: list[Any] = []
-        for at, item in enumerate(found.items):
-            value = self.kind.read(item, context, f"{key_path}[{at}]")
+        for index, item in enumerate(found.items):
+            value = self.item_type.read(item, context, f"{key_path}[{index}]")
             if value is INVALID:
                 continue
             if value in items:
-                context.diagnostics.add("AR214", item.location, f"{key_path}[{at}]", quote(value))
+                context.diagnostics.add("AR214", item.location, f"{key_path}[{index}]", quote(value))
                 continue
             items.append(value)
         return tuple(items)
@@ -343,27 +348,27 @@
                 yield item.location
 
     def format(self, value: Any) -> str:
-        return "[" + ", ".join(self.kind.format(v) for v in value) + "]"
+        return "[" + ", ".join(self.item_type.format(v) for v in value) + "]"
 
 
 class Nullable(ValueType):
-    """A value that may be absent, or null."""
+    """A value that may be absent or null."""
 
-    def __init__(self, kind: ValueType) -> None:
-        self.kind = kind
-        self.name = kind.name
+    def __init__(self, inner: ValueType) -> None:
+        self.inner = inner
+        self.name = inner.name
 
     def describe(self) -> str:
-        return self.kind.describe() + ", or absent"
+        return self.inner.describe() + ", or absent"
 
     def read(self, value: Value, context: ReadContext, key_path: str) -> Any:
         found = resolve(value, context.diagnostics, key_path)
         if isinstance(found, Scalar) and found.kind == "null":
             return None
-        return self.kind.read(value, context, key_path)
+        return self.inner.read(value, context, key_path)
 
     def format(self, value: Any) -> str:
-        return "null" if value is None else self.kind.format(value)
+        return "null" if value is None else self.inner.format(value)
 
 
 class RecordOf(ValueType):
@@ -376,7 +381,7 @@
 
 
 class MapOf(ValueType):
-    """Records, or plain values, by name; ``names`` is the table that the names must stand in."""
+    """Records or plain values by name; each name must be an entry of the table ``names``, if it is given."""
 
     def __init__(self, inner: ValueType, names: str = "") -> None:
         self.inner, self.names = inner, names
@@ -387,9 +392,9 @@
             return self.report_wrong_type(found, context, key_path)
         result: dict[str, Any] = {}
         for label, entry in found.public():
-            at = f"{key_path}.{label}"
+            entry_path = f"{key_path}.{label}"
             if not NAME.fullmatch(label):
-                context.diagnostics.add("AR217", entry.location, at, quote(label))
+                context.diagnostics.add("AR217", entry.location, entry_path, quote(label))
                 continue
             if self.names and context.complete:
                 table = context.table(self.names)
@@ -398,22 +403,22 @@
                     context.diagnostics.add(
                         "AR208",
                         entry.location,
-                        at,
+                        entry_path,
                         f"no {self.names} {quote(label)}; {suggestion(label, known)}",
                     )
                     continue
             value = conjoin(entry.value, found.pattern) if found.pattern is not None else entry.value
             if isinstance(self.inner, RecordOf):
-                inner = concrete_value(value, context.diagnostics, at)
-                read = (
+                concrete = concrete_value(value, context.diagnostics, entry_path)
+                item = (
                     INVALID
-                    if isinstance(inner, Bottom)
-                    else read_record(self.inner.record, inner, context, at, label, entry.location)
+                    if isinstance(concrete, Bottom)
+                    else read_record(self.inner.record, concrete, context, entry_path, label, entry.location)
                 )
             else:
-                read = self.inner.read(value, context, at)
-            if read is not INVALID:
-                result[label] = read
+                item = self.inner.read(value, context, entry_path)
+            if item is not INVALID:
+                result[label] = item
         return result
 
 
@@ -425,7 +430,7 @@
     """One key of a record."""
 
     name: str
-    kind: ValueType
+    value_type: ValueType
     doc: str
     default: Any
 
@@ -434,28 +439,28 @@
         return self.default is REQUIRED
 
 
-def key(kind: ValueType, doc: str, default: Any = REQUIRED) -> Any:
-    """A field of a record: its kind, what it means, and its default."""
-    meta = {"kind": kind, "doc": doc, "default": default}
+def key(value_type: ValueType, doc: str, default: Any = REQUIRED) -> Any:
+    """Define a field of a record: its value type, documentation and default."""
+    meta = {"value_type": value_type, "doc": doc, "default": default}
     if default is REQUIRED:
         return dataclasses.field(metadata=meta)
     if isinstance(default, dict):
         return dataclasses.field(default_factory=dict, metadata=meta)
-    if callable(default):  # a record whose own keys all have defaults
+    if callable(default):  # a record type whose keys all have defaults
         return dataclasses.field(default_factory=default, metadata=meta)
     return dataclasses.field(default=default, metadata=meta)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Record:
-    """What every record has: its name in its table, and the places of what was written."""
+    """Base of all records: its name in its table, and the source locations of its keys."""
 
     name: str = ""
     location: Location = NO_LOCATION
     locations: dict[str, Location] = dataclasses.field(default_factory=dict, compare=False, repr=False)
 
     def location_of(self, name: str) -> Location:
-        """Where the key's value stands; the record's own place where its default is in force."""
+        """The location of a key's value, or of the record if the key is not written there."""
         return self.locations.get(name, self.location)
 
 
@@ -464,15 +469,16 @@
 
 @dataclass_transform(kw_only_default=True, frozen_default=True, field_specifiers=(key,))
 def record(cls: R) -> R:
+    """Make a class a record: a frozen dataclass with slots and keyword arguments only."""
     return cast(R, dataclass(frozen=True, slots=True, kw_only=True)(cls))
 
 
 def keys_of(cls: type[Any]) -> list[Key]:
-    """A record's keys in the order in which they are written."""
+    """The keys of a record in the order of their definition."""
     return [
-        Key(f.name.removesuffix("_"), f.metadata["kind"], f.metadata["doc"], f.metadata["default"])
+        Key(f.name.removesuffix("_"), f.metadata["value_type"], f.metadata["doc"], f.metadata["default"])
         for f in dataclasses.fields(cls)
-        if "kind" in f.metadata
+        if "value_type" in f.metadata
     ]
 
 
@@ -482,7 +488,7 @@
 def _keys(cls: type[Any]) -> list[tuple[Key, str]]:
     known = _KEYS.get(cls)
     if known is None:
-        fields = [f.name for f in dataclasses.fields(cls) if "kind" in f.metadata]
+        fields = [f.name for f in dataclasses.fields(cls) if "value_type" in f.metadata]
         known = _KEYS[cls] = list(zip(keys_of(cls), fields, strict=True))
     return known
 
@@ -491,18 +497,18 @@
     cls: type[Any],
     found: Scalar | ListValue | Struct,
     context: ReadContext,
-    at: str,
+    key_path: str,
     name: str,
     location: Location | None = None,
 ) -> Any:
-    """A struct as a record: every fault is told; ``BAD`` where a required part of it can't be had."""
+    """Read a struct as a record; reports every fault, ``INVALID`` if a required key is missing or invalid."""
     if not isinstance(found, Struct):
         what = str(found) if isinstance(found, Scalar) else "a list"
-        context.diagnostics.add("AR202", found.location, at, f"{what}, where a record is wanted")
+        context.diagnostics.add("AR202", found.location, key_path, f"{what}, expected a record")
         return INVALID
-    own = location or found.location
+    record_location = location or found.location
     keys = _keys(cls)
-    known = {k.name for k, _ in keys}
+    known = {key.name for key, _ in keys}
     values: dict[str, Any] = {}
     locations: dict[str, Location] = {}
     valid = True
@@ -511,61 +517,61 @@
             context.diagnostics.add(
                 "AR206",
                 entry.location,
-                _join(at, label),
-                f"{quote(label)} is no key of this record; {suggestion(label, known)}",
+                _join_path(key_path, label),
+                f"{quote(label)} is not a key of this record; {suggestion(label, known)}",
             )
-    for k, field_name in keys:
-        given = found.entries.get(k.name)
+    for key, field_name in keys:
+        given = found.entries.get(key.name)
         if given is None:
-            if k.required:
+            if key.required:
                 valid = False
                 if context.complete:
                     context.diagnostics.add(
                         "AR207",
-                        own,
-                        _join(at, k.name),
-                        f"{k.name} is missing: {k.doc}",
-                        f"add {k.name}: {k.kind.describe()}",
+                        record_location,
+                        _join_path(key_path, key.name),
+                        f"{key.name} is missing: {key.doc}",
+                        f"add {key.name}: {key.value_type.describe()}",
                     )
-            elif isinstance(k.kind, RecordOf):
-                values[field_name] = k.default(location=own)  # so that a rule has a place to name
+            elif isinstance(key.value_type, RecordOf):
+                values[field_name] = key.default(location=record_location)  # gives rules a location to report
             continue
         value = conjoin(given.value, found.pattern) if found.pattern is not None else given.value
-        read = k.kind.read(value, context, _join(at, k.name))
-        locations[k.name] = given.value.location
-        locations[k.name + ":"] = given.location
-        if isinstance(k.kind, MapOf):
-            named = resolve(value, context.diagnostics, "")
-            if isinstance(named, Struct):
-                locations |= {f"{k.name}.{label}": entry.location for label, entry in named.public()}
-        if isinstance(k.kind, ListOf):
-            for number, item in enumerate(k.kind.item_locations(value, context)):
-                locations[f"{k.name}[{number}]"] = item
-        if read is INVALID:
-            valid = valid and not k.required
+        item = key.value_type.read(value, context, _join_path(key_path, key.name))
+        locations[key.name] = given.value.location
+        locations[key.name + ":"] = given.location  # of the key itself
+        if isinstance(key.value_type, MapOf):
+            struct = resolve(value, context.diagnostics, "")
+            if isinstance(struct, Struct):
+                locations |= {f"{key.name}.{label}": entry.location for label, entry in struct.public()}
+        if isinstance(key.value_type, ListOf):
+            for index, item_location in enumerate(key.value_type.item_locations(value, context)):
+                locations[f"{key.name}[{index}]"] = item_location
+        if item is INVALID:
+            valid = valid and not key.required
             continue
-        values[field_name] = read
+        values[field_name] = item
     if not valid:
         return INVALID
-    return cls(name=name, location=own, locations=locations, **values)
+    return cls(name=name, location=record_location, locations=locations, **values)
 
 
-def _join(at: str, label: str) -> str:
-    return f"{at}.{label}" if at else label
+def _join_path(key_path: str, label: str) -> str:
+    return f"{key_path}.{label}" if key_path else label
 
 
-def iter_keys(cls: type[Any], at: str = "") -> Iterator[tuple[str, Key]]:
-    """Every key below a record with its path; ``*`` stands for a name."""
-    for k in keys_of(cls):
-        path = _join(at, k.name)
-        yield path, k
-        inner: ValueType = k.kind
+def iter_keys(cls: type[Any], key_path: str = "") -> Iterator[tuple[str, Key]]:
+    """All keys of a record and its nested records by path; ``*`` stands for a name."""
+    for key in keys_of(cls):
+        path = _join_path(key_path, key.name)
+        yield path, key
+        inner: ValueType = key.value_type
         while isinstance(inner, Nullable | MapOf):
             if isinstance(inner, MapOf):
                 path += ".*"
                 inner = inner.inner
             else:
-                inner = inner.kind
+                inner = inner.inner
         if isinstance(inner, RecordOf):
             yield from iter_keys(inner.record, path)
 
--- a/arrowrail/config/show.py
+++ b/arrowrail/config/show.py
@@ -30,32 +30,36 @@
         field = key.name if hasattr(record, key.name) else key.name + "_"
         location = record.locations.get(key.name)
         yield from _values(
-            key.kind, getattr(record, field), f"{path}.{key.name}", location, record.locations, key.name
+            key.value_type, getattr(record, field), f"{path}.{key.name}", location, record.locations, key.name
         )
 
 
 def _values(
-    kind: ValueType,
+    value_type: ValueType,
     value: Any,
     key_path: str,
     location: Location | None,
     locations: Mapping[str, Location],
     name: str,
 ) -> Iterator[EffectiveValue]:
-    if isinstance(kind, RecordOf):
+    if isinstance(value_type, RecordOf):
         yield from values_of(value, key_path)
         return
-    if isinstance(kind, MapOf):
+    if isinstance(value_type, MapOf):
         for label, inner in value.items():
             inner_location = locations.get(f"{name}.{label}", location)
-            yield from _values(kind.inner, inner, f"{key_path}.{label}", inner_location, locations, name)
+            yield from _values(
+                value_type.inner, inner, f"{key_path}.{label}", inner_location, locations, name
+            )
         if not value:
             yield EffectiveValue(key_path, "{}", str(location) if location is not None else DEFAULT)
         return
-    if isinstance(kind, Nullable) and value is None:
+    if isinstance(value_type, Nullable) and value is None:
         yield EffectiveValue(key_path, "null", str(location) if location is not None else DEFAULT)
         return
-    yield EffectiveValue(key_path, kind.format(value), str(location) if location is not None else DEFAULT)
+    yield EffectiveValue(
+        key_path, value_type.format(value), str(location) if location is not None else DEFAULT
+    )
 
 
 def effective_values(result: CheckResult, name: str) -> list[EffectiveValue]:
--- a/arrowrail/config/syntax.py
+++ b/arrowrail/config/syntax.py
@@ -128,9 +128,7 @@
             try:
                 pattern = str(value.value)
                 if value.kind != STRING or len(pattern) > MAX_PATTERN_LENGTH or _may_backtrack(pattern):
-                    raise ValueError(
-                        "not a string, too long, a repeated group, a back reference or more than three repeats"
-                    )
+                    raise ValueError("not a string, too long, a repeated group or more than three repeats")
                 re.compile(pattern)
             except (re.error, ValueError, OverflowError, RecursionError) as error:
                 self.diagnostics.append(
