--- a/arrowrail/config/rules.py
+++ b/arrowrail/config/rules.py
@@ -1,7 +1,7 @@
-"""What no single key shows: faults across the records of a site and between its applications.  No I/O.
+"""Consistency checks across the records of a site and between its applications.  No I/O.
 
-Each rule is a function from records to faults.  Those over the inventory run once however many applications
-include it; those over applications run for each, and a last set over all of them together.
+Each rule reports the faults of the records it is given.  Inventory rules run once, however many applications
+include the inventory; application rules run for each application; the last set compares all applications.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Inventory:
-    """The tables of a site that applications share."""
+    """The tables of a site that its applications share."""
 
     site: Site | None
     districts: Mapping[str, District]
@@ -34,21 +34,25 @@
     classes: Mapping[str, CallClass]
     pools: Mapping[str, Pool]
     fallbacks: Mapping[str, tuple[str, ...]]
-    complete: bool = True  # false: part of it could not be read, so what is missing proves nothing
+    complete: bool = True  # false if a part could not be read: a missing entry is then not an error
 
     @cached_property
     def active_by_address(self) -> Mapping[tuple[str, int], Exchange]:
-        """The exchanges that are not gone, by their address in one spelling."""
-        return {normalized_address(e.address): e for e in self.exchanges.values() if e.state != "gone"}
+        """The exchanges that are not gone, by normalized address."""
+        return {
+            normalized_address(exchange.address): exchange
+            for exchange in self.exchanges.values()
+            if exchange.state != "gone"
+        }
 
     @cached_property
     def by_point_code(self) -> Mapping[int, Exchange]:
-        m3ua = [e for e in self.exchanges.values() if e.signalling == "m3ua"]
-        return {e.point_code: e for e in m3ua if e.point_code is not None}
+        m3ua = [exchange for exchange in self.exchanges.values() if exchange.signalling == "m3ua"]
+        return {exchange.point_code: exchange for exchange in m3ua if exchange.point_code is not None}
 
 
 def normalized_address(address: str) -> tuple[str, int]:
-    """An address in one spelling: ``localhost`` and every form of an IP address as that address."""
+    """Host and port in canonical form: ``localhost`` and IPv4-mapped addresses become IPv4 addresses."""
     host, port = parse_address(address)
     if host == "localhost":
         host = "127.0.0.1"
@@ -62,7 +66,7 @@
 
 
 def connections_per_exchange(descriptors: int) -> int:
-    """Connections that are kept to each exchange."""
+    """Number of connections kept open to each exchange."""
     return max(1, min(MAX_CONNECTIONS_PER_EXCHANGE, descriptors // DESCRIPTORS_PER_CONNECTION))
 
 
@@ -85,15 +89,15 @@
     for exchange in inventory.exchanges.values():
         if exchange.state == "gone":
             continue
-        at = normalized_address(exchange.address)
-        before = seen.setdefault(at, exchange)
-        if before is not exchange:
+        address = normalized_address(exchange.address)
+        previous = seen.setdefault(address, exchange)
+        if previous is not exchange:
             diagnostics.add(
                 "AR311",
                 exchange.location_of("address"),
                 f"exchange.{exchange.name}.address",
-                f"{exchange.address} is {before.name}'s",
-                other=before.location_of("address"),
+                f"{exchange.address} is the address of {previous.name}",
+                other=previous.location_of("address"),
             )
 
 
@@ -108,30 +112,30 @@
                 "AR317", exchange.location, key_path, "m3ua without a point code", "add point_code"
             )
             continue
-        before = seen.setdefault(exchange.point_code, exchange)
-        if before is not exchange:
+        previous = seen.setdefault(exchange.point_code, exchange)
+        if previous is not exchange:
             diagnostics.add(
                 "AR313",
                 exchange.location_of("point_code"),
                 key_path,
-                f"{exchange.point_code} is {before.name}'s",
-                other=before.location_of("point_code"),
+                f"{exchange.point_code} is the point code of {previous.name}",
+                other=previous.location_of("point_code"),
             )
 
 
 def check_unique_number_prefixes(inventory: Inventory, diagnostics: Diagnostics) -> None:
     seen: dict[str, tuple[District, Location]] = {}
     for district in inventory.districts.values():
-        for number, prefix in enumerate(district.numbers):
-            location = district.location_of(f"numbers[{number}]")
-            before = seen.setdefault(prefix, (district, location))
-            if before[0] is not district:
+        for index, prefix in enumerate(district.numbers):
+            location = district.location_of(f"numbers[{index}]")
+            previous = seen.setdefault(prefix, (district, location))
+            if previous[0] is not district:
                 diagnostics.add(
                     "AR308",
                     location,
-                    f"district.{district.name}.numbers[{number}]",
-                    f"{quote(prefix)} leads to {before[0].name} too",
-                    other=before[1],
+                    f"district.{district.name}.numbers[{index}]",
+                    f"{quote(prefix)} is also a prefix of {previous[0].name}",
+                    other=previous[1],
                 )
 
 
@@ -142,40 +146,40 @@
                 "AR316",
                 call_class.location_of("wanted"),
                 f"class.{call_class.name}.wanted",
-                f"{_duration(call_class.wanted)} wanted, {_duration(call_class.give_up)} given up",
+                f"wanted in {_duration(call_class.wanted)}, given up after {_duration(call_class.give_up)}",
                 other=call_class.location_of("give_up"),
             )
 
 
 def check_pool_cycles(inventory: Inventory, diagnostics: Diagnostics) -> None:
-    """Each cycle once, at the fall-back that closes it."""
-    done: set[str] = set()
+    """Report each cycle of fall-backs once, at the fall-back that closes it, by a depth-first search."""
+    visited: set[str] = set()
     for start in inventory.pools:
         path: list[str] = []
-        todo: list[tuple[str, int]] = [(start, 0)]
-        while todo:
-            name, at = todo.pop()
-            if at == 0:
-                if name in done:
+        stack: list[tuple[str, int]] = [(start, 0)]
+        while stack:
+            name, index = stack.pop()
+            if index == 0:
+                if name in visited:
                     continue
                 path.append(name)
             pool = inventory.pools[name]
-            if at == len(pool.fallback):
-                done.add(name)
+            if index == len(pool.fallback):
+                visited.add(name)
                 path.pop()
                 continue
-            todo.append((name, at + 1))
-            following = pool.fallback[at]
-            if following in path:
-                loop = [*path[path.index(following) :], following]
+            stack.append((name, index + 1))
+            next_pool = pool.fallback[index]
+            if next_pool in path:
+                cycle = [*path[path.index(next_pool) :], next_pool]
                 diagnostics.add(
                     "AR307",
-                    pool.location_of(f"fallback[{at}]"),
-                    f"pool.{name}.fallback[{at}]",
-                    " -> ".join(loop[:10]),
+                    pool.location_of(f"fallback[{index}]"),
+                    f"pool.{name}.fallback[{index}]",
+                    " -> ".join(cycle[:10]),
                 )
-            elif following in inventory.pools and following not in done:
-                todo.append((following, 0))
+            elif next_pool in inventory.pools and next_pool not in visited:
+                stack.append((next_pool, 0))
 
 
 def check_pool_members(inventory: Inventory, diagnostics: Diagnostics) -> None:
@@ -183,13 +187,13 @@
         key_path = f"pool.{pool.name}.exchanges"
         if len(pool.exchanges) == 1 and not pool.fallback:
             diagnostics.add("AR401", pool.location_of("exchanges"), key_path, f"only {pool.exchanges[0]}")
-        for number, name in enumerate(pool.exchanges):
+        for index, name in enumerate(pool.exchanges):
             exchange = inventory.exchanges.get(name)
             if exchange is not None and exchange.state != "in_service":
                 diagnostics.add(
                     "AR404",
-                    pool.location_of(f"exchanges[{number}]"),
-                    f"{key_path}[{number}]",
+                    pool.location_of(f"exchanges[{index}]"),
+                    f"{key_path}[{index}]",
                     f"{name} is {exchange.state}",
                     other=exchange.location_of("state"),
                 )
@@ -220,28 +224,32 @@
 
 def check_listeners(application: Application, inventory: Inventory, diagnostics: Diagnostics) -> None:
     key_path = f"application.{application.name}.listen"
-    given = [
-        (n, address)
-        for n, address in (("sip", application.listen.sip), ("m3ua", application.listen.m3ua))
+    configured = [
+        (name, address)
+        for name, address in (("sip", application.listen.sip), ("m3ua", application.listen.m3ua))
         if address
     ]
-    if not given and not {"sip", "m3ua"} & application.listen.locations.keys():
+    if not configured and not {"sip", "m3ua"} & application.listen.locations.keys():
         diagnostics.add(
-            "AR207", application.listen.location, key_path, "neither sip nor m3ua", "add one of the two"
+            "AR207",
+            application.listen.location,
+            key_path,
+            "neither sip nor m3ua is set",
+            "add one of the two",
         )
-    for name, address in given:
+    for name, address in configured:
         host, port = normalized_address(address)
         location = application.listen.location_of(name)
         if is_wildcard(host) or not is_loopback(host):
             diagnostics.add("AR318", location, f"{key_path}.{name}", address)
-        met = inventory.active_by_address.get((host, port))
-        if met is not None:
+        exchange = inventory.active_by_address.get((host, port))
+        if exchange is not None:
             diagnostics.add(
                 "AR314",
                 location,
                 f"{key_path}.{name}",
-                f"{address} is exchange {met.name}'s",
-                other=met.location_of("address"),
+                f"{address} is the address of exchange {exchange.name}",
+                other=exchange.location_of("address"),
             )
     if (
         application.listen.sip
@@ -252,42 +260,43 @@
             "AR302",
             application.listen.location_of("m3ua"),
             f"{key_path}.m3ua",
-            f"{application.listen.m3ua} is its sip listener's too",
+            f"{application.listen.m3ua} is also the address of the sip listener",
             other=application.listen.location_of("sip"),
         )
 
 
 def check_time_outs(application: Application, inventory: Inventory, diagnostics: Diagnostics) -> None:
     pause = inventory.site.release_pause if inventory.site is not None else 0
-    for calls in application.calls.values():
-        key_path = f"application.{application.name}.calls.{calls.name}"
-        if calls.time_out > calls.give_up:
+    for class_settings in application.calls.values():
+        key_path = f"application.{application.name}.calls.{class_settings.name}"
+        if class_settings.time_out > class_settings.give_up:
             diagnostics.add(
                 "AR303",
-                calls.location_of("time_out"),
+                class_settings.location_of("time_out"),
                 f"{key_path}.time_out",
-                f"{_duration(calls.time_out)}, and callers give up after {_duration(calls.give_up)}",
-                other=calls.location_of("give_up"),
+                f"{_duration(class_settings.time_out)}, "
+                f"but callers give up after {_duration(class_settings.give_up)}",
+                other=class_settings.location_of("give_up"),
             )
             continue
-        longest = application.attempts * calls.time_out + (application.attempts - 1) * pause
-        if longest > calls.give_up:
+        longest = application.attempts * class_settings.time_out + (application.attempts - 1) * pause
+        if longest > class_settings.give_up:
             diagnostics.add(
                 "AR304",
-                calls.location_of("time_out"),
+                class_settings.location_of("time_out"),
                 f"{key_path}.time_out",
-                f"{application.attempts} attempts of {_duration(calls.time_out)} and "
+                f"{application.attempts} attempts of {_duration(class_settings.time_out)} and "
                 f"{application.attempts - 1} pauses of {_duration(pause)} take {_duration(longest)}; "
-                f"callers give up after {_duration(calls.give_up)}",
+                f"callers give up after {_duration(class_settings.give_up)}",
                 other=application.location_of("attempts"),
             )
-        call_class = inventory.classes.get(calls.name)
-        if call_class is not None and calls.give_up > call_class.give_up:
+        call_class = inventory.classes.get(class_settings.name)
+        if call_class is not None and class_settings.give_up > call_class.give_up:
             diagnostics.add(
                 "AR303",
-                calls.location_of("give_up"),
+                class_settings.location_of("give_up"),
                 f"{key_path}.give_up",
-                f"callers give up a try after {_duration(calls.give_up)}, "
+                f"callers give up a try after {_duration(class_settings.give_up)}, "
                 f"but give up the class after {_duration(call_class.give_up)}",
                 "set give_up of a try to at most give_up of its class",
                 other=call_class.location_of("give_up"),
@@ -295,23 +304,26 @@
 
 
 def check_class_pools(application: Application, inventory: Inventory, diagnostics: Diagnostics) -> None:
-    """Each class has a pool with an exchange in service in each district that is served."""
-    if not application.calls and not any(key_path.startswith("calls.") for key_path in application.locations):
+    """Each class needs a pool with an exchange in service in each district that is served."""
+    if not application.calls and not any(key.startswith("calls.") for key in application.locations):
         diagnostics.add(
             "AR216",
             application.location_of("calls"),
             f"application.{application.name}.calls",
-            "no class of calls",
+            "no call class",
         )
-    for calls in application.calls.values():
-        key_path = f"application.{application.name}.calls.{calls.name}.pools"
+    for class_settings in application.calls.values():
+        key_path = f"application.{application.name}.calls.{class_settings.name}.pools"
         for district in application.serves:
-            if f"pools.{district}" not in calls.locations and inventory.complete:
+            if f"pools.{district}" not in class_settings.locations and inventory.complete:
                 diagnostics.add(
-                    "AR305", calls.location_of("pools"), key_path, f"{calls.name} has no pool in {district}"
+                    "AR305",
+                    class_settings.location_of("pools"),
+                    key_path,
+                    f"{class_settings.name} has no pool in {district}",
                 )
-        for district, pool in calls.pools.items():
-            location = calls.location_of(f"pools.{district}")
+        for district, pool in class_settings.pools.items():
+            location = class_settings.location_of(f"pools.{district}")
             if (
                 district not in application.serves
                 and f"serves[{len(application.serves)}]" not in application.locations
@@ -325,13 +337,13 @@
                 )
             order = fallback_order(inventory.fallbacks, pool)
             members = [
-                inventory.exchanges[e]
+                inventory.exchanges[exchange]
                 for name in order
-                for e in inventory.pools[name].exchanges
-                if e in inventory.exchanges
+                for exchange in inventory.pools[name].exchanges
+                if exchange in inventory.exchanges
             ]
-            if members and all(e.state != "in_service" for e in members) and inventory.complete:
-                names = ", ".join(f"{e.name} is {e.state}" for e in members[:4])
+            if members and all(exchange.state != "in_service" for exchange in members) and inventory.complete:
+                names = ", ".join(f"{exchange.name} is {exchange.state}" for exchange in members[:4])
                 diagnostics.add(
                     "AR306",
                     location,
@@ -343,23 +355,23 @@
 
 def check_limits(application: Application, inventory: Inventory, diagnostics: Diagnostics) -> None:
     key_path, limits = f"application.{application.name}.limits", application.limits
-    reached = {
-        e
-        for c in application.calls.values()
-        for p in c.pools.values()
-        for n in fallback_order(inventory.fallbacks, p)
-        for e in inventory.pools[n].exchanges
-        if e in inventory.exchanges
+    reachable = {
+        exchange
+        for class_settings in application.calls.values()
+        for first_pool in class_settings.pools.values()
+        for pool in fallback_order(inventory.fallbacks, first_pool)
+        for exchange in inventory.pools[pool].exchanges
+        if exchange in inventory.exchanges
     }
-    circuits = sum(inventory.exchanges[e].circuits for e in reached)
-    if reached and limits.open > circuits and inventory.complete:
+    circuits = sum(inventory.exchanges[exchange].circuits for exchange in reachable)
+    if reachable and limits.open > circuits and inventory.complete:
         diagnostics.add(
             "AR310",
             limits.location_of("open"),
             f"{key_path}.open",
-            f"{limits.open} set-ups; {circuits} circuits of its {len(reached)} exchanges",
+            f"{limits.open} open set-ups, but its {len(reachable)} exchanges have {circuits} circuits",
         )
-    exchange_connections = len(reached) * connections_per_exchange(application.descriptors)
+    exchange_connections = len(reachable) * connections_per_exchange(application.descriptors)
     needed = limits.connections + RESERVED_DESCRIPTORS + exchange_connections
     if needed > application.descriptors:
         diagnostics.add(
@@ -371,25 +383,27 @@
             f"descriptors: {application.descriptors}",
             other=application.location_of("descriptors"),
         )
-    for part in ("open", "rate"):
-        total = sum((getattr(s, part) for s in limits.shares.values()), Fraction(0))
+    for limit in ("open", "rate"):
+        total = sum((getattr(share, limit) for share in limits.shares.values()), Fraction(0))
         if total > 1:
             diagnostics.add(
                 "AR312",
                 limits.location_of("shares"),
                 f"{key_path}.shares",
-                f"the shares of {part} add up to {units.write(units.SHARE, total)}",
+                f"the shares of {limit} add up to {units.write(units.SHARE, total)}",
             )
     for name, share in limits.shares.items():
         if f"calls.{name}" not in application.locations and inventory.complete:
-            diagnostics.add("AR315", share.location, f"{key_path}.shares.{name}", f"calls has no {name}")
-    slowest = max((c.give_up for c in application.calls.values()), default=0)
-    if slowest and limits.rate * slowest / units.S + limits.rate * limits.burst / units.S < limits.open:
+            diagnostics.add(
+                "AR315", share.location, f"{key_path}.shares.{name}", f"calls has no class {name}"
+            )
+    longest = max((class_settings.give_up for class_settings in application.calls.values()), default=0)
+    if longest and limits.rate * longest / units.S + limits.rate * limits.burst / units.S < limits.open:
         diagnostics.add(
             "AR405",
             limits.location_of("open"),
             f"{key_path}.open",
-            f"{units.write(units.RATE, limits.rate)} for {_duration(slowest)} never reaches {limits.open}",
+            f"{units.write(units.RATE, limits.rate)} for {_duration(longest)} never reaches {limits.open}",
             other=limits.location_of("rate"),
         )
 
@@ -401,21 +415,21 @@
             "AR313",
             application.m3ua.location_of("point_code"),
             f"application.{application.name}.m3ua.point_code",
-            f"{application.m3ua.point_code} is exchange {exchange.name}'s",
+            f"{application.m3ua.point_code} is the point code of exchange {exchange.name}",
             other=exchange.location_of("point_code"),
         )
     if not application.listen.m3ua:
         return
     seen: dict[tuple[int | None, int | None], str] = {}
-    for calls in application.calls.values():
-        before = seen.setdefault((calls.category, calls.requirement), calls.name)
-        if before != calls.name:
+    for class_settings in application.calls.values():
+        previous = seen.setdefault((class_settings.category, class_settings.requirement), class_settings.name)
+        if previous != class_settings.name:
             diagnostics.add(
                 "AR324",
-                calls.location,
-                f"application.{application.name}.calls.{calls.name}",
-                f"category and requirement are {before}'s",
-                other=application.calls[before].location,
+                class_settings.location,
+                f"application.{application.name}.calls.{class_settings.name}",
+                f"same category and requirement as {previous}",
+                other=application.calls[previous].location,
             )
 
 
@@ -444,13 +458,13 @@
                 "AR502",
                 group.location_of("listen"),
                 f"{key_path}.listen",
-                f"{group.listen}, where {name} is {address}",
+                f"{group.listen}, but member {name} has the address {address}",
             )
         other = next(
             (
-                n
-                for n, x in group.members.items()
-                if n != name and normalized_address(x) == normalized_address(address)
+                member
+                for member, member_address in group.members.items()
+                if member != name and normalized_address(member_address) == normalized_address(address)
             ),
             "",
         )
@@ -459,21 +473,21 @@
                 "AR502",
                 group.location_of(f"members.{name}"),
                 f"{key_path}.members.{name}",
-                f"{address} is {other}'s",
+                f"{address} is the address of {other}",
             )
     if not group.members and "members" in group.locations:
-        diagnostics.add("AR216", group.location_of("members"), f"{key_path}.members", "no member")
+        diagnostics.add("AR216", group.location_of("members"), f"{key_path}.members", "no members")
     if group.probe_time_out >= group.probe_period:
         diagnostics.add(
             "AR503",
             group.location_of("probe_period"),
             f"{key_path}.probe_period",
-            f"{_duration(group.probe_period)}, and a run may take {_duration(group.probe_time_out)}",
+            f"{_duration(group.probe_period)}, but a probe may take {_duration(group.probe_time_out)}",
             other=group.location_of("probe_time_out"),
         )
-    for number, text in group.keys.items():
-        valid = number.isdigit() and 1 <= int(number) <= 255 and len(text) >= 32 and len(text) % 2 == 0
-        if not valid or any(c not in "0123456789abcdefABCDEF" for c in text):
+    for number, digits in group.keys.items():
+        valid = number.isdigit() and 1 <= int(number) <= 255 and len(digits) >= 32 and len(digits) % 2 == 0
+        if not valid or any(digit not in "0123456789abcdefABCDEF" for digit in digits):
             diagnostics.add(
                 "AR504",
                 group.location_of(f"keys.{number}"),
@@ -485,12 +499,10 @@
             "AR504",
             group.location_of("send_key"),
             f"{key_path}.send_key",
-            f"no key {group.send_key} among keys",
+            f"keys has no key {group.send_key}",
         )
     if group.joining and not set(group.members) & set(group.joining):
-        diagnostics.add(
-            "AR505", group.location_of("joining"), f"{key_path}.joining", "none of the members stays"
-        )
+        diagnostics.add("AR505", group.location_of("joining"), f"{key_path}.joining", "no member is kept")
 
 
 APPLICATION_RULES: tuple[Callable[[Application, Inventory, Diagnostics], None], ...] = (
@@ -508,7 +520,7 @@
 
 
 def check_listener_ports(applications: Iterable[Application], diagnostics: Diagnostics) -> None:
-    """Two listeners on one port, also a wildcard against an address and two spellings of one address."""
+    """Report listeners of different applications on the same address, or a wildcard on the same port."""
     by_port: dict[int, list[tuple[str, Application, str, Location]]] = {}
     for application in applications:
         for name, address in (("sip", application.listen.sip), ("m3ua", application.listen.m3ua)):
@@ -522,7 +534,7 @@
                         "AR302",
                         location,
                         f"application.{application.name}.listen.{name}",
-                        f"{address} is claimed by {other.name} as {other_address}",
+                        f"{address} is used by {other.name} as {other_address}",
                         other=other_location,
                     )
                     break
@@ -530,7 +542,7 @@
 
 
 def check_groups(applications: Iterable[Application], diagnostics: Diagnostics) -> None:
-    """Instances of one group have to agree on who grants; while it changes, on one of the two sides."""
+    """Instances of a group must agree on its members: on the old or the new ones during a change."""
     by_name: dict[str, list[tuple[Application, Group]]] = {}
     for application in applications:
         if application.group is not None:
@@ -539,16 +551,16 @@
         first = found[0][1]
         known = {normalized_address(group.listen) for _, group in found}
         known |= {
-            normalized_address(x)
+            normalized_address(address)
             for _, group in found
-            for x in (*group.members.values(), *group.joining.values())
+            for address in (*group.members.values(), *group.joining.values())
         }
-        names: dict[str, Group] = {}
+        group_by_instance: dict[str, Group] = {}
         for application, group in found:
             key_path = f"application.{application.name}.group"
-            # A step of a change: one has the new members already, which the other lists as joining.
-            step = group.members in (first.members, first.joining) or first.members == group.joining
-            if not step:
+            # During a change, one instance has the new members that another still lists as joining.
+            consistent = group.members in (first.members, first.joining) or first.members == group.joining
+            if not consistent:
                 diagnostics.add(
                     "AR506",
                     group.location_of("members"),
@@ -556,32 +568,32 @@
                     f"{', '.join(sorted(group.members))} here, {', '.join(sorted(first.members))} there",
                     other=first.location_of("members"),
                 )
-            before = names.setdefault(group.me, group)
-            if before is not group:
+            previous = group_by_instance.setdefault(group.me, group)
+            if previous is not group:
                 diagnostics.add(
                     "AR506",
                     group.location_of("me"),
                     f"{key_path}.me",
-                    f"two are called {quote(group.me)}",
-                    other=before.location_of("me"),
+                    f"two instances are called {quote(group.me)}",
+                    other=previous.location_of("me"),
                 )
-            for number, seed in enumerate(group.seeds):
+            for index, seed in enumerate(group.seeds):
                 if normalized_address(seed) not in known:
                     diagnostics.add(
-                        "AR507", group.location_of(f"seeds[{number}]"), f"{key_path}.seeds[{number}]", seed
+                        "AR507", group.location_of(f"seeds[{index}]"), f"{key_path}.seeds[{index}]", seed
                     )
 
 
 def check_unused_pools(
     applications: Iterable[Application], inventory: Inventory, diagnostics: Diagnostics
 ) -> None:
-    apps = list(applications)
+    all_applications = list(applications)
     used = {
-        n
-        for application in apps
-        for c in application.calls.values()
-        for p in c.pools.values()
-        for n in fallback_order(inventory.fallbacks, p)
+        name
+        for application in all_applications
+        for class_settings in application.calls.values()
+        for first_pool in class_settings.pools.values()
+        for name in fallback_order(inventory.fallbacks, first_pool)
     }
     for pool in inventory.pools.values():
         if pool.name not in used:
@@ -589,6 +601,7 @@
 
 
 def _overlap(one: tuple[str, int], other: tuple[str, int]) -> bool:
+    """Whether two listeners would bind the same address and port."""
     return one[1] == other[1] and (one[0] == other[0] or is_wildcard(one[0]) or is_wildcard(other[0]))
 
 
