--- a/arrowrail/config/atomic_file.py
+++ b/arrowrail/config/atomic_file.py
@@ -1,4 +1,4 @@
-"""Files that are whole or not there: a temporary one beside it, fsync, rename, fsync of the folder."""
+"""Atomic replacement of files: write a temporary file, fsync it, rename it and fsync the directory."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Replace a file so that every reader, and every start after a crash, finds the old or the new one.
+    """Replace a file so that readers find the old or the new content, even after a crash.
 
-    ``OSError`` where it can't be done; the temporary file is gone then, and the old one as it was.
+    If it fails with ``OSError``, the temporary file is removed and the old file is unchanged.
     """
     descriptor, temporary = tempfile.mkstemp(prefix=f".{path.name}.", suffix=".new", dir=path.parent)
     try:
@@ -24,8 +24,8 @@
     except BaseException:
         os.unlink(temporary)
         raise
-    folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
+    directory = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
--- a/arrowrail/config/checker.py
+++ b/arrowrail/config/checker.py
@@ -1,4 +1,4 @@
-"""A folder of records, read and checked as a whole: the check that the tool runs and every start runs."""
+"""Reads and checks a folder of records; used by ``config check`` and at every start."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from arrowrail.config.schema import INVALID, ReadContext, keys_of
 from arrowrail.config.values import Value
 
-TABLE_KEYS = {k.name: k for k in keys_of(Root)}
+TABLE_KEYS = {key.name: key for key in keys_of(Root)}
 
 
 @dataclass(slots=True)
 class CheckResult:
-    """What a folder holds, and all that is wrong with it."""
+    """The applications of a folder and all diagnostics."""
 
     diagnostics: Diagnostics
     applications: dict[str, Application] = field(default_factory=dict)
     inventories: dict[str, Inventory] = field(default_factory=dict)  # by application
-    files: dict[str, str] = field(default_factory=dict)  # the file of each application
-    loaded: dict[str, LoadedFile] = field(default_factory=dict)  # every file, by its name
+    files: dict[str, str] = field(default_factory=dict)  # by application
+    loaded: dict[str, LoadedFile] = field(default_factory=dict)  # every file by name
 
     @property
     def valid(self) -> bool:
@@ -33,20 +33,20 @@
 
 
 class TableReader:
-    """Reads each table once however many applications share it."""
+    """Reads each inventory once, however many applications share it."""
 
     def __init__(self, diagnostics: Diagnostics) -> None:
         self.diagnostics = diagnostics
         self._read: dict[tuple[int, ...], Any] = {}
-        self._referenced: list[Any] = []  # what the keys are the ids of stays alive
+        self._referenced: list[Any] = []  # keeps the values alive whose ids are cache keys
         self._inventories: dict[tuple[int, ...], Inventory] = {}
 
     def _values(self, loaded: LoadedFile) -> dict[str, Value]:
-        return {name: e.value for name, e in loaded.root.entries.items() if name in TABLE_KEYS}
+        return {name: entry.value for name, entry in loaded.root.entries.items() if name in TABLE_KEYS}
 
     def inventory(self, loaded: LoadedFile) -> Inventory:
         values = self._values(loaded)
-        shared = [values.get(n) for n in ("site", "district", "exchange", "class", "pool")]
+        shared = [values.get(name) for name in ("site", "district", "exchange", "class", "pool")]
         key = (*(id(value) for value in shared), int(loaded.complete))
         known = self._inventories.get(key)
         if known is not None:
@@ -63,8 +63,8 @@
                         f"{name} is missing: {TABLE_KEYS[name].doc}",
                     )
                 return None
-            read = TABLE_KEYS[name].value_type.read(values[name], context, name)
-            return None if read is INVALID else read
+            records = TABLE_KEYS[name].value_type.read(values[name], context, name)
+            return None if records is INVALID else records
 
         pools = table("pool") or {}
         inventory = Inventory(
@@ -85,10 +85,10 @@
     def application(self, loaded: LoadedFile) -> tuple[dict[str, Application], Inventory]:
         inventory = self.inventory(loaded)
         context = ReadContext(self.diagnostics, loaded.root, loaded.complete)
-        read = TABLE_KEYS["application"].value_type.read(
+        records = TABLE_KEYS["application"].value_type.read(
             loaded.root.entries["application"].value, context, "application"
         )
-        applications = {} if read is INVALID else read
+        applications = {} if records is INVALID else records
         for application in applications.values():
             for rule in rules.APPLICATION_RULES:
                 rule(application, inventory, self.diagnostics)
@@ -96,11 +96,11 @@
 
 
 def check_application(folder: Path, name: str) -> CheckResult:
-    """One application as its sidecar starts it: its file and what that includes, no other application.
+    """Check one application as its sidecar starts it: only its file and the files that it includes.
 
-    Its time does not grow with the number of applications.  What clashes between applications is told by the
-    check of the folder; a port that another has taken ends the start.  The file is ``NAME.rail``; an
-    application that stands elsewhere is looked for in the whole folder.
+    The time does not depend on the number of applications.  Conflicts between applications are left to the
+    check of the folder; if another process has taken a port, the start fails.  The application is expected in
+    ``NAME.rail``; if it is not there, the whole folder is checked.
     """
     file = name + SUFFIX
     if (folder / file).is_file():
@@ -111,13 +111,13 @@
 
 
 def check_folder(folder: Path, replaced: dict[str, bytes] | None = None, only: str = "") -> CheckResult:
-    """Every fault of a folder's files, and the applications that could be read; ``only``: of one file."""
+    """Check all files of a folder, or the file ``only``, and read their applications."""
     diagnostics = Diagnostics()
-    files = RecordLoader(folder, diagnostics, replaced)
+    loader = RecordLoader(folder, diagnostics, replaced)
     result, tables = CheckResult(diagnostics), TableReader(diagnostics)
-    names = [only] if only else files.names()
-    all_loaded = [files.load(name) for name in names]
-    result.loaded = files.loaded
+    names = [only] if only else loader.names()
+    all_loaded = [loader.load(name) for name in names]
+    result.loaded = loader.loaded
     included_files = included_names(all_loaded)
     inventories: dict[int, tuple[Inventory, list[Application]]] = {}
     for loaded in all_loaded:
@@ -131,8 +131,13 @@
                     tables.inventory(loaded)
             continue
         if loaded.name in included_files and "application" in loaded.own.entries:
-            by = next(other.name for other in all_loaded if loaded.name in other.includes)
-            diagnostics.add("AR320", entry.location, "application", f"{by} includes this application's file")
+            including_file = next(other.name for other in all_loaded if loaded.name in other.includes)
+            diagnostics.add(
+                "AR320",
+                entry.location,
+                "application",
+                f"{including_file} includes the file of this application",
+            )
             continue
         applications, inventory = tables.application(loaded)
         if len(applications) > 1:
@@ -144,14 +149,14 @@
                 f"{', '.join(list(applications)[:4])} in one file",
             )
         for application in applications.values():
-            before = result.applications.get(application.name)
-            if before is not None:
+            duplicate = result.applications.get(application.name)
+            if duplicate is not None:
                 diagnostics.add(
                     "AR319",
                     application.location,
                     f"application.{application.name}",
-                    f"{quote(application.name)} stands in two files",
-                    other=before.location,
+                    f"{quote(application.name)} is defined in two files",
+                    other=duplicate.location,
                 )
                 continue
             result.applications[application.name], result.inventories[application.name] = (
@@ -162,37 +167,40 @@
             inventories.setdefault(id(inventory), (inventory, []))[1].append(application)
     rules.check_listener_ports(result.applications.values(), diagnostics)
     rules.check_groups(result.applications.values(), diagnostics)
-    for inventory, including in inventories.values():
+    for inventory, its_applications in inventories.values():
         if inventory.complete and not only:
-            rules.check_unused_pools(including, inventory, diagnostics)
+            rules.check_unused_pools(its_applications, inventory, diagnostics)
     if not names:
         diagnostics.add("AR216", Location(str(folder)), "", "no file ending with .rail")
     return result
 
 
 def _has_applications(loaded: list[LoadedFile]) -> bool:
-    return any("application" in one.root.entries for one in loaded)
+    return any("application" in file.root.entries for file in loaded)
 
 
 def _check_table_names(loaded: LoadedFile, diagnostics: Diagnostics) -> None:
     for label, entry in loaded.own.public():
         if label not in TABLE_KEYS:
             diagnostics.add(
-                "AR206", entry.location, label, f"{quote(label)} is no table; {suggestion(label, TABLE_KEYS)}"
+                "AR206",
+                entry.location,
+                label,
+                f"{quote(label)} is not a table; {suggestion(label, TABLE_KEYS)}",
             )
 
 
 def faults_of_application(result: CheckResult, name: str) -> list[Diagnostic]:
-    """The faults that keep one application from starting: those in its file and what that includes.
+    """The faults that prevent an application from starting: those in its file and the files it includes.
 
-    A slip in another application's file must not stop this one.
+    A fault in the file of another application must not stop this one.
     """
     if name not in result.files:
-        return [f for f in result.diagnostics if f.severity == FAULT]
+        return [fault for fault in result.diagnostics if fault.severity == FAULT]
     files: set[str] = set()
     pending = [result.files[name]]
     while pending:
         file = pending.pop()
         files.add(file)
         pending += [inner for inner in result.loaded[file].includes if inner not in files]
-    return [f for f in result.diagnostics if f.severity == FAULT and f.location.file in files]
+    return [fault for fault in result.diagnostics if fault.severity == FAULT and fault.location.file in files]
--- a/arrowrail/config/convert.py
+++ b/arrowrail/config/convert.py
@@ -1,4 +1,4 @@
-"""Turns an operator's TOML file of before into records that mean the same."""
+"""Converts an operator's file in the former TOML format into equivalent records."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ConvertError(Exception):
-    """Nothing was written; each line says why."""
+    """The conversion failed; each line gives a reason."""
 
     def __init__(self, *lines: str) -> None:
         super().__init__("; ".join(lines))
@@ -21,45 +21,47 @@
 
 
 def convert(file: Path, folder: Path, force: bool = False) -> tuple[list[Path], list[str]]:
-    """Write ``NAME.rail`` beside what the folder holds; returns the files written and what to look at."""
-    operator, diagnostics = read_operator_file(file)
+    """Write ``NAME.rail`` to the folder; returns the files written and the remaining diagnostics."""
+    operator, faults = read_operator_file(file)
     if operator is None:
-        raise ConvertError(*(str(f) for f in diagnostics))
+        raise ConvertError(*(str(fault) for fault in faults))
     path = folder / (file.stem + SUFFIX)
     if path.exists() and not force:
-        raise ConvertError(f"{path} is there already; --force writes over it")
+        raise ConvertError(f"{path} is there already; --force overwrites it")
     text = render(operator, file.name)
     folder.mkdir(parents=True, exist_ok=True)
     try:
         write_atomically(path, text.encode())
     except OSError as error:
-        raise ConvertError(f"{path}: can't be written: {error.strerror}") from error
-    found, after = read_controller_file(path)
-    if found is None:  # a value that was good before and is none now: the file stays, to be mended
-        raise ConvertError(f"{path} was written, and has faults:", *(str(f) for f in after))
-    return [path], [str(f) for f in after]
+        raise ConvertError(f"{path}: cannot be written: {error.strerror}") from error
+    controller, diagnostics = read_controller_file(path)
+    if controller is None:  # a value that is no longer valid; the file is kept for manual correction
+        raise ConvertError(
+            f"{path} was written, but has faults:", *(str(diagnostic) for diagnostic in diagnostics)
+        )
+    return [path], [str(diagnostic) for diagnostic in diagnostics]
 
 
 def render(operator: OperatorTable, name: str) -> str:
-    """The records of an operator's file; values at their defaults are left out, as nobody stated them."""
-    text = String()
+    """Render an operator's file as records; tables that the operator did not set are omitted."""
+    string_type = String()
     given = operator.model_fields_set
     lines = [
         f"// converted from {name}",
         "controller: {",
-        f"  application: {text.format(operator.application)}",
+        f"  application: {string_type.format(operator.application)}",
     ]
     if "log" in given:
-        lines.append(f"  log: level: {text.format(operator.log.level)}")
+        lines.append(f"  log: level: {string_type.format(operator.log.level)}")
     if "m3ua" in given:
-        lines += _m3ua(operator, text)
+        lines += _m3ua(operator, string_type)
     if "etcd" in given:
-        e = operator.etcd
+        etcd = operator.etcd
         lines += [
             "  etcd: {",
-            f"    enabled: {'true' if e.enabled else 'false'}",
-            f"    address: {text.format(e.address)}",
-            f"    prefix: {text.format(e.prefix)}",
+            f"    enabled: {'true' if etcd.enabled else 'false'}",
+            f"    address: {string_type.format(etcd.address)}",
+            f"    prefix: {string_type.format(etcd.prefix)}",
             "  }",
         ]
     return "\n".join([*lines, "}", ""])
@@ -69,28 +71,35 @@
     return units.write(units.DURATION, value * units.MS)
 
 
-def _m3ua(operator: OperatorTable, text: String) -> list[str]:
-    m = operator.m3ua
-    lines = ["  m3ua: {", f"    enabled: {'true' if m.enabled else 'false'}"]
-    lines += [f"    listen: {text.format(m.listen)}", f"    point_code: {m.point_code}"]
+def _m3ua(operator: OperatorTable, string_type: String) -> list[str]:
+    m3ua = operator.m3ua
+    lines = ["  m3ua: {", f"    enabled: {'true' if m3ua.enabled else 'false'}"]
+    lines += [f"    listen: {string_type.format(m3ua.listen)}", f"    point_code: {m3ua.point_code}"]
     for name in ("routing_context", "network_appearance"):
-        value = getattr(m, name)
+        value = getattr(m3ua, name)
         if value is not None:
             lines.append(f"    {name}: {value}")
-    lines += [f"    heartbeat: {_ms(m.heartbeat_ms)}", f"    circuits: {m.circuits}"]
+    lines += [f"    heartbeat: {_ms(m3ua.heartbeat_ms)}", f"    circuits: {m3ua.circuits}"]
     rows: dict[str, list[str]] = {"classes": [], "numbers": [], "desks": []}
-    for c in m.classes:
-        row = f"class: {text.format(c.name)}, deadline: {_ms(c.deadline_ms)}"
+    for class_table in m3ua.classes:
+        row = f"class: {string_type.format(class_table.name)}, deadline: {_ms(class_table.deadline_ms)}"
         for name in ("category", "requirement"):
-            value = getattr(c, name)
+            value = getattr(class_table, name)
             row += f", {name}: {value}" if value is not None else ""
         rows["classes"].append(row)
-    rows["numbers"] = [f"prefix: {text.format(n.prefix)}, exchange: {n.exchange}" for n in m.numbers]
-    for d in m.desks:
-        row = f"uid: {text.format(d.uid)}, address: {text.format(d.address)}, point_code: {d.point_code}"
-        row += f", exchange: {d.exchange}, zone: {text.format(d.zone)}, circuits: {d.circuits}"
+    rows["numbers"] = [
+        f"prefix: {string_type.format(number.prefix)}, exchange: {number.exchange}" for number in m3ua.numbers
+    ]
+    for desk in m3ua.desks:
+        row = (
+            f"uid: {string_type.format(desk.uid)}, address: {string_type.format(desk.address)}, "
+            f"point_code: {desk.point_code}"
+        )
+        row += (
+            f", exchange: {desk.exchange}, zone: {string_type.format(desk.zone)}, circuits: {desk.circuits}"
+        )
         rows["desks"].append(row)
-    for name, found in rows.items():
-        if found:
-            lines += [f"    {name}: [", *(f"      {{{row}}}" for row in found), "    ]"]
+    for name, table_rows in rows.items():
+        if table_rows:
+            lines += [f"    {name}: [", *(f"      {{{row}}}" for row in table_rows), "    ]"]
     return [*lines, "  }"]
--- a/arrowrail/config/explain.py
+++ b/arrowrail/config/explain.py
@@ -1,4 +1,4 @@
-"""What a key or a code is: for ``config explain``, and the reference page made from the schema."""
+"""Explanations of keys and codes for ``config explain``, and the reference page generated from the schema."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from arrowrail.config.records import all_keys
 from arrowrail.config.schema import REQUIRED, Key, MapOf, RecordOf
 
-MAX_MATCHES = 12
+MAX_MATCHES = 12  # keys explained at a time
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,19 +17,27 @@
     lines: tuple[str, ...]
 
 
-def explain(what: str) -> Explanation:
-    """A code, a key's whole path (names or ``*`` in it), or the end of one."""
-    asked = what.strip()
-    code = CODES.get(asked.upper())
+def explain(query: str) -> Explanation:
+    """Explain a code, a key by its full path (with names or ``*``), or all keys whose paths end so."""
+    requested = query.strip()
+    code = CODES.get(requested.upper())
     if code is not None:
-        return Explanation(True, (f"{asked.upper()} ({code.severity}): {code.title}.", f"Why: {code.reason}.",
-                                f"What to do: {code.remedy}."))  # fmt: skip
+        return Explanation(
+            True,
+            (
+                f"{requested.upper()} ({code.severity}): {code.title}.",
+                f"Why: {code.reason}.",
+                f"What to do: {code.remedy}.",
+            ),
+        )
     keys = all_keys()
-    parts = asked.split(".")
+    parts = requested.split(".")
     exact = [path for path in keys if _matches(path.split("."), parts)]
     found = exact or [path for path in keys if _matches_suffix(path.split("."), parts)]
     if not found:
-        return Explanation(False, (f"no key or code {asked!r}; {suggestion(asked, [*keys, *CODES])}",))
+        return Explanation(
+            False, (f"no key or code {requested!r}; {suggestion(requested, [*keys, *CODES])}",)
+        )
     lines: list[str] = []
     for path in found[:MAX_MATCHES]:
         lines += _lines(path, keys[path])
@@ -38,12 +46,14 @@
     return Explanation(True, tuple(lines))
 
 
-def _matches(path: list[str], asked: list[str]) -> bool:
-    return len(path) == len(asked) and all(p in ("*", a) for p, a in zip(path, asked, strict=True))
+def _matches(path: list[str], parts: list[str]) -> bool:
+    return len(path) == len(parts) and all(
+        label in ("*", part) for label, part in zip(path, parts, strict=True)
+    )
 
 
-def _matches_suffix(path: list[str], asked: list[str]) -> bool:
-    return len(asked) <= len(path) and path[-len(asked) :] == asked
+def _matches_suffix(path: list[str], parts: list[str]) -> bool:
+    return len(parts) <= len(path) and path[-len(parts) :] == parts
 
 
 def default_of(key: Key) -> str:
@@ -72,8 +82,8 @@
         "| --- | --- | --- | --- |",
     ]
     for path, key in all_keys().items():
-        says = key.value_type.describe().replace("|", "\\|")
-        lines.append(f"| `{path}` | {key.doc} | {says} | {default_of(key).replace('|', chr(92) + '|')} |")
+        allowed = key.value_type.describe().replace("|", "\\|")
+        lines.append(f"| `{path}` | {key.doc} | {allowed} | {default_of(key).replace('|', chr(92) + '|')} |")
     lines += ["", "## Codes", "", "| code | what | why it hurts | what to do |", "| --- | --- | --- | --- |"]
     for name, code in CODES.items():
         severity = "" if code.severity == "fault" else " (warning)"
--- a/arrowrail/config/legacy_toml.py
+++ b/arrowrail/config/legacy_toml.py
@@ -1,4 +1,4 @@
-"""The operator's TOML file of before, for the converter: nothing else reads that form any more."""
+"""The former TOML format of the operator's file, which only the converter still reads."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
     except ValueError:
         port, host = -1, ""
     if not host or not 0 <= port <= 65535:
-        raise ValueError("no address and port")
+        raise ValueError("not an address and port")
     return text
 
 
 def _digits(text: str) -> str:
-    if any(d not in DIGITS for d in text):
-        raise ValueError("not made of digits")
+    if any(digit not in DIGITS for digit in text):
+        raise ValueError("not a string of digits")
     return text
 
 
 Address = Annotated[str, AfterValidator(_address)]
 Byte = Annotated[int, Field(ge=0, le=255)]
-# 24 bits hold the point codes of every national variant
+# 24 bits hold the point codes of all national variants.
 PointCode = Annotated[int, Field(ge=0, le=0xFFFFFF)]
 Name = Annotated[str, Field(min_length=1, max_length=64)]
 
@@ -101,6 +101,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TomlFault:
+    """An invalid key of the file and the values allowed for it."""
+
     file: str
     key: str
     message: str
@@ -111,19 +113,21 @@
 
 
 def read_operator_file(path: Path) -> tuple[OperatorTable | None, list[TomlFault]]:
-    """The file's content, or every fault in it."""
+    """Read the file's content, or else every fault in it."""
     name = str(path)
     try:
-        # Lists become tuples: the values are read once and never changed.
+        # The strict, frozen models accept tuples only.
         raw = _lists_to_tuples(tomllib.loads(path.read_text(encoding="utf-8")))
     except OSError as error:
-        return None, [TomlFault(name, "-", f"can't be read ({error.strerror})", "a readable TOML file")]
+        return None, [TomlFault(name, "-", f"cannot be read ({error.strerror})", "a readable TOML file")]
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        return None, [TomlFault(name, "-", f"no TOML: {error}", "TOML 1.0 in UTF-8")]
+        return None, [TomlFault(name, "-", f"invalid TOML: {error}", "TOML 1.0 in UTF-8")]
     try:
         operator = OperatorTable.model_validate(raw)
     except ValidationError as error:
-        faults = [_fault(name, e["loc"], e["type"], e["msg"], e.get("input")) for e in error.errors()]
+        faults = [
+            _fault(name, item["loc"], item["type"], item["msg"], item.get("input")) for item in error.errors()
+        ]
         return None, faults
     faults = list(_check_consistency(name, operator))
     return (None, faults) if faults else (operator, [])
@@ -131,30 +135,30 @@
 
 def _lists_to_tuples(value: Any) -> Any:
     if isinstance(value, dict):
-        return {key: _lists_to_tuples(v) for key, v in value.items()}
-    return tuple(_lists_to_tuples(v) for v in value) if isinstance(value, list) else value
+        return {key: _lists_to_tuples(item) for key, item in value.items()}
+    return tuple(_lists_to_tuples(item) for item in value) if isinstance(value, list) else value
 
 
-def _fault(file: str, place: tuple[int | str, ...], kind: str, text: str, given: Any) -> TomlFault:
-    key = "".join(f"[{p}]" if isinstance(p, int) else f".{p}" for p in place).lstrip(".")
-    table, allowed = _allowed(place)
-    if kind == "missing":
+def _fault(file: str, path: tuple[int | str, ...], error_type: str, text: str, value: Any) -> TomlFault:
+    key = "".join(f"[{step}]" if isinstance(step, int) else f".{step}" for step in path).lstrip(".")
+    table, allowed = _allowed(path)
+    if error_type == "missing":
         return TomlFault(file, key, "missing", allowed)
-    if kind == "extra_forbidden":
+    if error_type == "extra_forbidden":
         return TomlFault(file, key, "unknown key", ", ".join(table.model_fields) if table else "no such key")
-    shown = repr(given) if isinstance(given, str | int | float | bool) else type(given).__name__
+    shown = repr(value) if isinstance(value, str | int | float | bool) else type(value).__name__
     return TomlFault(file, key, f"{shown}: {text[0].lower()}{text[1:]}", allowed)
 
 
-def _allowed(place: tuple[int | str, ...]) -> tuple[type[Table] | None, str]:
-    """The table that a key stands in, and what its field says is allowed."""
+def _allowed(path: tuple[int | str, ...]) -> tuple[type[Table] | None, str]:
+    """The table that contains a key, and the description of the values allowed for it."""
     table: type[Table] | None = OperatorTable
-    description = "see the written file"
+    description = "see the file"
     tables: dict[str, type[Table]] = {
         "log": LogTable, "m3ua": M3uaTable, "etcd": EtcdTable, "classes": ClassTable, "numbers": NumberTable,
         "desks": DeskTable,
     }  # fmt: skip
-    for step in place:
+    for step in path:
         if isinstance(step, int) or table is None:
             continue
         field = table.model_fields.get(step)
@@ -167,23 +171,26 @@
 
 
 def _check_consistency(file: str, operator: OperatorTable) -> Iterable[TomlFault]:
-    """What no single key shows: things that are named twice, or missing once a part is turned on."""
+    """Report duplicate names, addresses, prefixes and point codes, and tables that M3UA signalling lacks."""
     m3ua = operator.m3ua
     for key, values in (
-        ("m3ua.desks.uid", [d.uid for d in m3ua.desks]),
-        ("m3ua.desks.address", [d.address for d in m3ua.desks]),
-        ("m3ua.numbers.prefix", [n.prefix for n in m3ua.numbers]),
+        ("m3ua.desks.uid", [desk.uid for desk in m3ua.desks]),
+        ("m3ua.desks.address", [desk.address for desk in m3ua.desks]),
+        ("m3ua.numbers.prefix", [number.prefix for number in m3ua.numbers]),
     ):
-        for duplicate in sorted({v for v in values if values.count(v) > 1}):
-            yield TomlFault(file, key, f"{duplicate!r} stands twice", "each once")
-    for at, desk in enumerate(m3ua.desks):
+        for duplicate in sorted({value for value in values if values.count(value) > 1}):
+            yield TomlFault(file, key, f"{duplicate!r} occurs twice", "each once")
+    for index, desk in enumerate(m3ua.desks):
         if desk.point_code == m3ua.point_code:
             yield TomlFault(
-                file, f"m3ua.desks[{at}].point_code", "is the controller's own", "another point code"
+                file,
+                f"m3ua.desks[{index}].point_code",
+                "is the point code of the controller",
+                "another point code",
             )
     if m3ua.enabled:
         for key, entries in (("classes", m3ua.classes), ("numbers", m3ua.numbers)):
             if not entries:
                 yield TomlFault(
-                    file, f"m3ua.{key}", "none, with m3ua.enabled", f"at least one [[m3ua.{key}]]"
+                    file, f"m3ua.{key}", "empty, although m3ua.enabled is set", f"at least one [[m3ua.{key}]]"
                 )
--- a/arrowrail/config/loader.py
+++ b/arrowrail/config/loader.py
@@ -1,7 +1,7 @@
-"""Files of a configuration's folder: read once each, with what they include, and merged.
+"""Reads the record files of a folder, each once, and merges them with the files they include.
 
-The only part of the checker that touches the disk.  A folder is read as a whole; what it holds is bounded in
-files, bytes and depth of includes.
+The only module of the checker that reads from disk.  The number of files, their size and the depth of
+includes are limited.
 """
 
 from __future__ import annotations
@@ -18,26 +18,25 @@
 
 SUFFIX = ".rail"
 MAX_FILES = 10_000
-MAX_INCLUDE_DEPTH = 16  # of one file inside one another
+MAX_INCLUDE_DEPTH = 16  # files that include one another in a chain
 
 
 @dataclass(slots=True)
 class LoadedFile:
-    """A file with all that it includes."""
+    """A file together with the files it includes."""
 
-    name: str  # as messages show it: relative to the folder
+    name: str  # relative to the folder, as shown in messages
     path: Path
-    own: Struct
-    root: Struct  # the file and what it includes, merged
-    complete: bool = True
+    own: Struct  # entries of the file itself
+    root: Struct  # the file merged with everything it includes
+    complete: bool = True  # false if a part could not be read
     includes: list[str] = field(default_factory=list)
 
 
 class RecordLoader:
-    """Reads files below one folder; each is parsed once however often it is included.
+    """Loads files below one folder; each is parsed once, however often it is included.
 
-    ``replaced`` holds contents that stand in for files on the disk: a tool checks what it would write before
-    it writes it.
+    ``replaced`` overrides files on disk by name, so that a tool can check a file before it writes it.
     """
 
     def __init__(
@@ -49,23 +48,25 @@
         self._loading: list[str] = []
 
     def names(self) -> list[str]:
-        """The folder's record files by name, relative to it; hidden ones left out."""
+        """The names of the record files, relative to the folder, without hidden files and folders."""
         found: set[str] = set(self.replaced)
         try:
             for base, folders, files in os.walk(self.folder):
-                folders[:] = sorted(f for f in folders if not f.startswith("."))
+                folders[:] = sorted(name for name in folders if not name.startswith("."))
                 for name in files:
                     if name.endswith(SUFFIX) and not name.startswith("."):
                         found.add(Path(base, name).relative_to(self.folder).as_posix())
                 if len(found) > MAX_FILES:
-                    self.diagnostics.add("AR111", Location(str(self.folder)), "", f"over {MAX_FILES} files")
+                    self.diagnostics.add(
+                        "AR111", Location(str(self.folder)), "", f"more than {MAX_FILES} files"
+                    )
                     break
         except OSError as error:
             self.diagnostics.add("AR101", Location(str(self.folder)), "", str(error.strerror))
         return sorted(found)[:MAX_FILES]
 
     def load(self, name: str) -> LoadedFile:
-        """A file and what it includes; a part that can't be read is left out, and ``whole`` says so."""
+        """Load a file and its includes; a part that cannot be read is left out and clears ``complete``."""
         known = self.loaded.get(name)
         if known is not None:
             return known
@@ -86,7 +87,7 @@
                 loaded.includes.append(inner.name)
                 loaded.complete = loaded.complete and inner.complete
                 loaded.root = merge_structs(inner.root, loaded.root)
-            # References look at the merged whole: what a file names may stand in what it includes.
+            # A file may refer to entries of the files it includes, so references use the merged root.
             parsed.scope.root, parsed.scope.complete = loaded.root, loaded.complete
             self.loaded[name] = loaded
             return loaded
@@ -105,9 +106,7 @@
             self.diagnostics.add("AR109", location, "", " -> ".join(cycle[:8]))
             return None
         if len(self._loading) > MAX_INCLUDE_DEPTH:
-            self.diagnostics.add(
-                "AR106", location, "", f"more than {MAX_INCLUDE_DEPTH} includes inside one another"
-            )
+            self.diagnostics.add("AR106", location, "", f"more than {MAX_INCLUDE_DEPTH} nested includes")
             return None
         if target in included_targets:
             self.diagnostics.add("AR218", location, "", f"include {quote(text)}")
@@ -123,7 +122,7 @@
         if name in self.replaced:
             return self.replaced[name]
         try:
-            # Guards against a pipe or device in the folder, whose reading would never end.
+            # Guards against pipes and devices in the folder, for which reading would block or never end.
             with open(self.folder / name, "rb", opener=_nonblocking) as file:
                 if not stat.S_ISREG(os.fstat(file.fileno()).st_mode):
                     raise OSError(0, "not a regular file")
@@ -138,4 +137,4 @@
 
 
 def included_names(loaded: Iterable[LoadedFile]) -> set[str]:
-    return {name for one in loaded for name in one.includes}
+    return {name for file in loaded for name in file.includes}
--- a/arrowrail/config/show.py
+++ b/arrowrail/config/show.py
@@ -1,4 +1,4 @@
-"""What is in force for an application: every value with the place it comes from, or ``default``."""
+"""The effective settings of an application: every value with its source location, or ``default``."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 class EffectiveValue:
     key_path: str
     value: str
-    source: str
+    source: str  # location in a file, or ``default``
 
     def as_json(self) -> dict[str, str]:
         return {"key": self.key_path, "value": self.value, "source": self.source}
 
 
 def values_of(record: Record, path: str) -> Iterator[EffectiveValue]:
-    """A record's values, the inner ones under their paths."""
+    """The values of a record and its nested records with their key paths."""
     for key in keys_of(type(record)):
         field = key.name if hasattr(record, key.name) else key.name + "_"
         location = record.locations.get(key.name)
@@ -63,7 +63,7 @@
 
 
 def effective_values(result: CheckResult, name: str) -> list[EffectiveValue]:
-    """The application, and of the inventory what it reaches."""
+    """The values of an application and of all inventory records that it uses."""
     application, inventory = result.applications[name], result.inventories[name]
     found = list(values_of(application, f"application.{name}"))
     if inventory.site is not None:
@@ -75,9 +75,9 @@
         if call_class in inventory.classes:
             found += values_of(inventory.classes[call_class], f"class.{call_class}")
     pools: dict[str, None] = {}
-    for calls in application.calls.values():
-        for first in calls.pools.values():
-            pools |= dict.fromkeys(fallback_order(inventory.fallbacks, first))
+    for class_settings in application.calls.values():
+        for first_pool in class_settings.pools.values():
+            pools |= dict.fromkeys(fallback_order(inventory.fallbacks, first_pool))
     exchanges: dict[str, None] = {}
     for pool in pools:
         found += values_of(inventory.pools[pool], f"pool.{pool}")
--- a/arrowrail/config/writer.py
+++ b/arrowrail/config/writer.py
@@ -1,7 +1,7 @@
-"""Makes an application's file from the inventory and a few answers.
+"""Generates the record file of an application from the inventory and a few answers.
 
-What it writes passes the check, or is not written.  A file that somebody has edited is not written over
-without saying what would be lost: the first line holds a digest of what the tool wrote.
+A file is written only if it passes the check.  A file that was edited by hand is not overwritten without
+listing what would be lost; the first line holds a digest of the generated text to detect edits.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from arrowrail.config.show import effective_values
 from arrowrail.pools.config import fallback_order
 
-MARK = "// written by arrowrail config write; digest "
+HEADER_PREFIX = "// written by arrowrail config write; digest "
 FIRST_PORT, LAST_PORT = 5081, 5999
-TIME_STEP = 10 * units.MS
-ATTEMPTS = 2
-RATE = "50/s"
-GIVE_UP = "3s"
+TIME_OUT_STEP = 10 * units.MS
+DEFAULT_ATTEMPTS = 2
+DEFAULT_RATE = "50/s"
+DEFAULT_GIVE_UP = "3s"
 
 
 class WriteError(Exception):
-    """Nothing was written; each line says why."""
+    """Nothing was written; each line gives a reason."""
 
     def __init__(self, *lines: str) -> None:
         super().__init__("; ".join(lines))
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answers:
-    """What the operator said; empty or ``None`` where the tool decides."""
+    """The operator's choices; the tool decides where a value is empty or ``None``."""
 
     application: str
     inventory: str = "inventory" + SUFFIX
@@ -66,70 +66,72 @@
 
 
 def edited(text: str) -> bool:
-    """Whether a file is not, or no longer, as the tool wrote it."""
+    """Whether a file differs from what the tool wrote, or was not written by it."""
     first, _, body = text.partition("\n")
-    return not first.startswith(MARK) or first.removeprefix(MARK).strip() != digest(body)
+    return not first.startswith(HEADER_PREFIX) or first.removeprefix(HEADER_PREFIX).strip() != digest(body)
 
 
 def write_application(folder: Path, answers: Answers, force: bool = False) -> WriteResult:
-    """Write ``NAME.rail``; ``WriteError`` says what is error, or what would be lost without ``force``."""
+    """Write ``NAME.rail``; raises ``WriteError`` with the faults, or with the edits that need ``force``."""
     if not NAME.fullmatch(answers.application):
         raise WriteError(f"{quote(answers.application)} can't be used as a name")
     before = check_folder(folder)
     inventory = _inventory(folder, answers)
     body = _body(before, inventory, answers)
-    text = f"{MARK}{digest(body)}\n{body}"
+    text = f"{HEADER_PREFIX}{digest(body)}\n{body}"
     name = answers.application + SUFFIX
     path = folder / name
     try:
         old = path.read_text(encoding="utf-8") if path.exists() else None
     except (OSError, UnicodeDecodeError) as error:
-        raise WriteError(f"{path}: can't be read before it is replaced: {error}") from error
+        raise WriteError(f"{path}: cannot read the file to be replaced: {error}") from error
     if old == text:
         return WriteResult(path, False)
     after = check_folder(folder, {name: text.encode()})
-    remaining_faults = [str(f) for f in after.diagnostics if f.severity == FAULT and f.location.file == name]
+    remaining_faults = [
+        str(fault) for fault in after.diagnostics if fault.severity == FAULT and fault.location.file == name
+    ]
     if remaining_faults:
-        raise WriteError("what would be written does not pass the check:", *remaining_faults)
+        raise WriteError("the generated file does not pass the check:", *remaining_faults)
     discarded: tuple[str, ...] = ()
     if old is not None and edited(old):
         discarded = tuple(_discarded_parts(before, after, answers.application, old, text))
         if not force:
-            raise WriteError(
-                f"{path} was edited; --force writes over it, and this would be lost:", *discarded
-            )
+            raise WriteError(f"{path} was edited; --force overwrites it, and this would be lost:", *discarded)
     try:
         write_atomically(path, text.encode())
     except OSError as error:
-        raise WriteError(f"{path}: can't be written: {error.strerror}") from error
+        raise WriteError(f"{path}: cannot be written: {error.strerror}") from error
     return WriteResult(path, True, discarded)
 
 
 def _inventory(folder: Path, answers: Answers) -> Inventory:
-    """The inventory on its own, whatever else the folder holds."""
+    """Read the inventory alone, without the other files of the folder."""
     path = folder / answers.inventory
     if not path.is_file():
         raise WriteError(f"{path}: no such inventory")
     diagnostics = Diagnostics()
     inventory = TableReader(diagnostics).inventory(RecordLoader(folder, diagnostics).load(answers.inventory))
     if diagnostics.has_faults:
-        faults = [str(f) for f in diagnostics if f.severity == FAULT]
+        faults = [str(fault) for fault in diagnostics if fault.severity == FAULT]
         raise WriteError("the inventory does not pass the check:", *faults)
     return inventory
 
 
-def _pick(asked: tuple[str, ...], known: Iterable[str], what: str) -> list[str]:
+def _select(requested: tuple[str, ...], known: Iterable[str], what: str) -> list[str]:
+    """The requested names, which must be known, or all known names if none are requested."""
     names = list(known)
-    for name in asked:
+    for name in requested:
         if name not in names:
             raise WriteError(f"no {what} {quote(name)}; {suggestion(name, names)}")
-    return list(dict.fromkeys(asked)) or names
+    return list(dict.fromkeys(requested)) or names
 
 
 def _pool_for(inventory: Inventory, district: str) -> Pool | None:
-    """The pool of that name, else the one with most exchanges of the district; it must be able to serve."""
+    """The district's pool: the one of the same name, or else the one with most of its exchanges in service."""
 
     def serves(pool: Pool) -> bool:
+        """Whether the pool or one of its fall-backs has an exchange in service."""
         order = fallback_order(inventory.fallbacks, pool.name)
         members = [
             inventory.exchanges[exchange]
@@ -147,22 +149,22 @@
         members = [
             inventory.exchanges[exchange] for exchange in pool.exchanges if exchange in inventory.exchanges
         ]
-        here = sum(
+        local_count = sum(
             1 for exchange in members if exchange.district == district and exchange.state == "in_service"
         )
-        if here and serves(pool):
-            rank = (-here, len(members), pool.name)
+        if local_count and serves(pool):
+            rank = (-local_count, len(members), pool.name)
             best = min(best, rank) if best is not None else rank
     return inventory.pools[best[2]] if best is not None else None
 
 
-def _quantity(text: str, kind: str, what: str) -> int | Fraction:
+def _quantity(text: str, kind: str, option: str) -> int | Fraction:
     try:
         found, value = units.read(text)
     except units.UnitError as error:
-        raise WriteError(f"{what} {quote(text)}: {error}") from error
+        raise WriteError(f"{option} {quote(text)}: {error}") from error
     if found != kind or isinstance(value, float):
-        raise WriteError(f"{what} {quote(text)}: a {kind} with its unit is wanted: {units.unit_names(kind)}")
+        raise WriteError(f"{option} {quote(text)}: expected a {kind} with its unit: {units.unit_names(kind)}")
     return value
 
 
@@ -175,43 +177,47 @@
                 for address in (application.listen.sip, application.listen.m3ua)
                 if address
             }
-    port = next((p for p in range(FIRST_PORT, LAST_PORT) if p not in taken), None)
+    port = next((port for port in range(FIRST_PORT, LAST_PORT) if port not in taken), None)
     if port is None:
-        raise WriteError(f"no port is free from {FIRST_PORT} to {LAST_PORT}; name one with --sip")
+        raise WriteError(f"no free port from {FIRST_PORT} to {LAST_PORT}; set one with --sip")
     return f"127.0.0.1:{port}"
 
 
 def _body(before: CheckResult, inventory: Inventory, answers: Answers) -> str:
     assert inventory.site is not None
-    classes = _pick(answers.classes, inventory.classes, "class")
-    district_names = _pick(answers.districts, inventory.districts, "district")
+    classes = _select(answers.classes, inventory.classes, "class")
+    district_names = _select(answers.districts, inventory.districts, "district")
     pools = {name: pool for name in district_names if (pool := _pool_for(inventory, name)) is not None}
-    without = [name for name in district_names if name not in pools]
-    if without and answers.districts:
-        raise WriteError(f"no pool with an exchange in service serves {', '.join(without)}")
+    unserved = [name for name in district_names if name not in pools]
+    if unserved and answers.districts:
+        raise WriteError(f"no pool with an exchange in service serves {', '.join(unserved)}")
     if not pools or not classes:
-        raise WriteError("the inventory has no class, or no district with a pool that can serve")
-    give_up = int(_quantity(answers.give_up or GIVE_UP, units.DURATION, "--give-up"))
-    give_up = min([give_up, *(inventory.classes[c].give_up for c in classes)])
-    pauses = (ATTEMPTS - 1) * inventory.site.release_pause
-    attempts = ATTEMPTS if give_up - pauses >= ATTEMPTS * TIME_STEP else 1
-    time_out = (give_up - (attempts - 1) * inventory.site.release_pause) // attempts // TIME_STEP * TIME_STEP
-    if time_out < TIME_STEP:
+        raise WriteError(
+            "the inventory has no class, or no district with a pool that has an exchange in service"
+        )
+    give_up = int(_quantity(answers.give_up or DEFAULT_GIVE_UP, units.DURATION, "--give-up"))
+    give_up = min([give_up, *(inventory.classes[name].give_up for name in classes)])
+    pauses = (DEFAULT_ATTEMPTS - 1) * inventory.site.release_pause
+    attempts = DEFAULT_ATTEMPTS if give_up - pauses >= DEFAULT_ATTEMPTS * TIME_OUT_STEP else 1
+    time_out = (
+        (give_up - (attempts - 1) * inventory.site.release_pause) // attempts // TIME_OUT_STEP * TIME_OUT_STEP
+    )
+    if time_out < TIME_OUT_STEP:
         raise WriteError(f"--give-up {units.write(units.DURATION, give_up)} leaves no time for an attempt")
-    rate = Fraction(_quantity(answers.rate or RATE, units.RATE, "--rate"))
-    reached = {
+    rate = Fraction(_quantity(answers.rate or DEFAULT_RATE, units.RATE, "--rate"))
+    reachable = {
         exchange
         for pool in pools.values()
         for name in fallback_order(inventory.fallbacks, pool.name)
         for exchange in inventory.pools[name].exchanges
         if exchange in inventory.exchanges
     }
-    circuits = sum(inventory.exchanges[exchange].circuits for exchange in reached)
+    circuits = sum(inventory.exchanges[exchange].circuits for exchange in reachable)
     rate_bound = max(1, int(rate * (give_up + units.S) / units.S))
     open_ = answers.open if answers.open is not None else min(circuits, rate_bound)
     connections = {key.name: key.default for key in keys_of(Limits)}["connections"]
     descriptors = 1024
-    while connections + 16 + len(reached) * connections_per_exchange(descriptors) > descriptors:
+    while connections + 16 + len(reachable) * connections_per_exchange(descriptors) > descriptors:
         descriptors *= 2
     sip = answers.sip or (None if answers.m3ua else _free_port(before, inventory, answers.application))
     strings, district_ref, pool_ref = String(), TableRef("district"), TableRef("pool")
@@ -247,7 +253,7 @@
 
 
 def _discarded_parts(before: CheckResult, after: CheckResult, name: str, old: str, new: str) -> list[str]:
-    """Values that would change, and the operator's own notes."""
+    """The values that would change and the comments that would be lost."""
     discarded: list[str] = []
     if name in before.applications:
         current = {
@@ -266,6 +272,8 @@
     else:
         kept = set(new.splitlines())
         discarded += [line.strip() for line in old.splitlines() if line.strip() and line not in kept]
-    notes = [line.strip() for line in old.splitlines() if "//" in line and not line.startswith(MARK)]
-    discarded += [f"the note {quote(note)}" for note in notes]
-    return discarded or ["nothing but its layout"]
+    comments = [
+        line.strip() for line in old.splitlines() if "//" in line and not line.startswith(HEADER_PREFIX)
+    ]
+    discarded += [f"the comment {quote(comment)}" for comment in comments]
+    return discarded or ["only its formatting"]
