--- a/arrowrail/config/legacy_toml.py
+++ b/arrowrail/config/legacy_toml.py
@@ -116,7 +116,7 @@
     """Read the file's content, or else every fault in it."""
     name = str(path)
     try:
-        # The strict, frozen models accept tuples only.
+        # Values are immutable: lists become tuples, as the strict models require.
         raw = _lists_to_tuples(tomllib.loads(path.read_text(encoding="utf-8")))
     except OSError as error:
         return None, [TomlFault(name, "-", f"cannot be read ({error.strerror})", "a readable TOML file")]
--- a/arrowrail/config/writer.py
+++ b/arrowrail/config/writer.py
@@ -128,7 +128,7 @@
 
 
 def _pool_for(inventory: Inventory, district: str) -> Pool | None:
-    """The district's pool: the one of the same name, or else the one with most of its exchanges in service."""
+    """The pool of the same name, or else the one with most exchanges of the district in service."""
 
     def serves(pool: Pool) -> bool:
         """Whether the pool or one of its fall-backs has an exchange in service."""
--- a/tests/records/corpus.py
+++ b/tests/records/corpus.py
@@ -1,14 +1,14 @@
-"""Deliberately broken configurations: a good one, and one edit each with the fault that it must bring.
+"""Invalid configurations: a valid one, and edits of it with the faults that they must cause.
 
-An edit is the file, a text in it and what takes its place.  The place of the fault is stated by hand: line and
-column as an editor counts them.
+An edit replaces a text of a file.  The line and column of the fault are given by hand, as an editor counts
+them.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-INVENTORY = """\
+INVENTORY_TEXT = """\
 site: {label: "test", controllers: 2}
 district: fukuoka: numbers: ["092"]
 district: kumamoto: numbers: ["096"]
@@ -27,7 +27,7 @@
   k: {exchanges: [exchange.k-1, exchange.k-2]}
 }
 """
-LIFTS = """\
+LIFTS_TEXT = """\
 include "inventory.rail"
 application: lifts: {
   listen: sip: "127.0.0.1:5081"
@@ -40,7 +40,7 @@
   attempts: 2
 }
 """
-GROUP = """\
+GROUP_TEXT = """\
   attempts: 2
   group: {
     group: "g"
@@ -52,9 +52,9 @@
     probe_period: 10s
   }
 """
-PANELS = LIFTS.replace("lifts", "panels").replace("5081", "5082")
-GOOD = {"inventory.rail": INVENTORY, "lifts.rail": LIFTS, "panels.rail": PANELS}
-I, L, P = "inventory.rail", "lifts.rail", "panels.rail"
+PANELS_TEXT = LIFTS_TEXT.replace("lifts", "panels").replace("5081", "5082")
+VALID_FILES = {"inventory.rail": INVENTORY_TEXT, "lifts.rail": LIFTS_TEXT, "panels.rail": PANELS_TEXT}
+INVENTORY, LIFTS, PANELS = "inventory.rail", "lifts.rail", "panels.rail"
 
 
 @dataclass(frozen=True)
@@ -65,140 +65,140 @@
     file: str
     old: str
     new: str
-    at: str = ""  # the file of the fault, where it is another one
+    fault_file: str = ""  # the file with the fault, if it is another one
 
 
-def edited(case: Case, raw: bool = False) -> dict[str, bytes]:
-    files = dict(GOOD)
+def apply_edit(case: Case, raw: bool = False) -> dict[str, bytes]:
+    files = dict(VALID_FILES)
     assert case.old in files[case.file], case
     files[case.file] = files[case.file].replace(case.old, case.new, 1)
     return {name: text.encode("utf-8", "surrogateescape") for name, text in files.items()}
 
 
-CASES = (
-    # The form of a file
-    Case("AR102", 1, 17, I, '"test"', '"t\udcffst"'),
-    Case("AR103", 1, 17, I, '"test"', '"t\0st"'),
-    Case("AR103", 2, 9, I, "district: fukuoka", "district\x07: fukuoka"),
-    Case("AR105", 1, 4097, I, 'site: {label: "test"', 'site: {label: "test"' + " " * 5000),
-    Case("AR106", 2, 51, I, 'district: fukuoka: numbers: ["092"]', "a: " + "[" * 60 + "]" * 60),
-    Case("AR107", 3, 10, I, "district: kumamoto", "district = kumamoto"),
-    Case("AR107", 1, 15, I, '"test"', '"test'),
-    Case("AR107", 1, 15, I, '"test"', "'test'"),
-    Case("AR107", 7, 1, I, "class: {\n", "class: [\n"),
-    Case("AR107", 8, 11, I, '  "k-2": {district: district.kumamoto, address: "127.0.0.1:6104", circuits: 60}\n}\n',
+SINGLE_FAULTS = (
+    # Syntax
+    Case("AR102", 1, 17, INVENTORY, '"test"', '"t\udcffst"'),
+    Case("AR103", 1, 17, INVENTORY, '"test"', '"t\0st"'),
+    Case("AR103", 2, 9, INVENTORY, "district: fukuoka", "district\x07: fukuoka"),
+    Case("AR105", 1, 4097, INVENTORY, 'site: {label: "test"', 'site: {label: "test"' + " " * 5000),
+    Case("AR106", 2, 51, INVENTORY, 'district: fukuoka: numbers: ["092"]', "a: " + "[" * 60 + "]" * 60),
+    Case("AR107", 3, 10, INVENTORY, "district: kumamoto", "district = kumamoto"),
+    Case("AR107", 1, 15, INVENTORY, '"test"', '"test'),
+    Case("AR107", 1, 15, INVENTORY, '"test"', "'test'"),
+    Case("AR107", 7, 1, INVENTORY, "class: {\n", "class: [\n"),
+    Case("AR107", 8, 11, INVENTORY, '  "k-2": {district: district.kumamoto, address: "127.0.0.1:6104", circuits: 60}\n}\n',
          '  "k-2": {district: district.kumamoto, address: "127.0.0.1:6104", circuits: 60}\n'),
-    Case("AR107", 10, 13, L, "attempts: 2", "attempts: "),
-    Case("AR107", 1, 1, I, "site: {", "# a note\nsite: {"),
-    Case("AR107", 10, 15, L, "attempts: 2", "attempts: 2 3"),
-    Case("AR107", 6, 24, L, "give_up: 3s", "give_up: 3 s"),
-    Case("AR107", 10, 13, L, "attempts: 2", "attempts: *2"),
-    Case("AR107", 1, 15, I, '"test"', '"te\\qst"'),
-    Case("AR107", 10, 19, L, "attempts: 2", 'attempts: 2 & =~"("'),
+    Case("AR107", 10, 13, LIFTS, "attempts: 2", "attempts: "),
+    Case("AR107", 1, 1, INVENTORY, "site: {", "# a note\nsite: {"),
+    Case("AR107", 10, 15, LIFTS, "attempts: 2", "attempts: 2 3"),
+    Case("AR107", 6, 24, LIFTS, "give_up: 3s", "give_up: 3 s"),
+    Case("AR107", 10, 13, LIFTS, "attempts: 2", "attempts: *2"),
+    Case("AR107", 1, 15, INVENTORY, '"test"', '"te\\qst"'),
+    Case("AR107", 10, 19, LIFTS, "attempts: 2", 'attempts: 2 & =~"("'),
     # Includes
-    Case("AR108", 1, 1, L, "inventory.rail", "inventry.rail"),
-    Case("AR109", 1, 1, I, "site: {", 'include "inventory.rail"\nsite: {'),
-    Case("AR110", 1, 1, L, "inventory.rail", "../inventory.rail"),
-    Case("AR110", 1, 1, L, "inventory.rail", "/etc/inventory.rail"),
+    Case("AR108", 1, 1, LIFTS, "inventory.rail", "inventry.rail"),
+    Case("AR109", 1, 1, INVENTORY, "site: {", 'include "inventory.rail"\nsite: {'),
+    Case("AR110", 1, 1, LIFTS, "inventory.rail", "../inventory.rail"),
+    Case("AR110", 1, 1, LIFTS, "inventory.rail", "/etc/inventory.rail"),
     # Values
-    Case("AR201", 11, 13, L, "  attempts: 2\n", "  attempts: 2\n  attempts: 3\n"),
-    Case("AR201", 2, 14, L, "application: lifts", 'site: label: "other"\napplication: lifts'),
-    Case("AR201", 11, 13, L, "  attempts: 2\n", "  attempts: 2\n  attempts: {}\n"),
-    Case("AR202", 10, 13, L, "attempts: 2", 'attempts: "2"'),
-    Case("AR202", 4, 11, L, "serves: [district.fukuoka, district.kumamoto]", "serves: 5"),
-    Case("AR202", 9, 11, L, "limits: {open: 100, rate: 50/s, shares: alarm: {open: 40%, rate: 40%}}",
+    Case("AR201", 11, 13, LIFTS, "  attempts: 2\n", "  attempts: 2\n  attempts: 3\n"),
+    Case("AR201", 2, 14, LIFTS, "application: lifts", 'site: label: "other"\napplication: lifts'),
+    Case("AR201", 11, 13, LIFTS, "  attempts: 2\n", "  attempts: 2\n  attempts: {}\n"),
+    Case("AR202", 10, 13, LIFTS, "attempts: 2", 'attempts: "2"'),
+    Case("AR202", 4, 11, LIFTS, "serves: [district.fukuoka, district.kumamoto]", "serves: 5"),
+    Case("AR202", 9, 11, LIFTS, "limits: {open: 100, rate: 50/s, shares: alarm: {open: 40%, rate: 40%}}",
          "limits: 5"),
-    Case("AR203", 6, 22, L, "give_up: 3s", "give_up: 3000"),
-    Case("AR203", 9, 29, L, "rate: 50/s", "rate: 50"),
-    Case("AR203", 9, 57, L, "open: 40%", "open: 0.4"),
-    Case("AR204", 6, 22, L, "give_up: 3s", "give_up: 3/s"),
-    Case("AR204", 9, 29, L, "rate: 50/s", "rate: 50s"),
-    Case("AR204", 10, 13, L, "attempts: 2", "attempts: 2s"),
-    Case("AR205", 10, 13, L, "attempts: 2", "attempts: 5"),
-    Case("AR205", 1, 36, I, "controllers: 2", "controllers: 0"),
-    Case("AR205", 1, 38, I, "controllers: 2", "release_pause: 200ms"),
-    Case("AR205", 9, 29, L, "rate: 50/s", "rate: 0/s"),
-    Case("AR206", 10, 3, L, "attempts: 2", "atempts: 2"),
-    Case("AR206", 2, 1, L, "application: lifts", "aplication: x: {}\napplication: lifts"),
-    Case("AR206", 9, 62, L, "alarm: {open: 40%, rate", "alarm: {open: 40%, rat", ),
-    Case("AR207", 2, 14, L, "  limits: {open: 100, rate: 50/s, shares: alarm: {open: 40%, rate: 40%}}\n", ""),
-    Case("AR207", 5, 3, I, "worth: 4, ", ""),
-    Case("AR207", 3, 11, L, 'listen: sip: "127.0.0.1:5081"', "listen: {}"),
-    Case("AR208", 4, 30, L, "district.kumamoto]", "district.kumamto]"),
-    Case("AR208", 6, 61, L, "fukuoka: pool.f", "fukuoka: pool.ff"),
-    Case("AR208", 7, 5, L, "report: {give_up", "repport: {give_up"),
-    Case("AR208", 15, 59, I, "fallback: [pool.k]", "fallback: [pool.x]"),
-    Case("AR208", 10, 13, L, "attempts: 2", "attempts: site.tries"),
-    Case("AR209", 10, 13, L, "attempts: 2", "attempts: application.lifts.attempts"),
-    Case("AR210", 10, 13, L, "attempts: 2", "attempts: 2 | 3"),
-    Case("AR210", 10, 13, L, "attempts: 2", "attempts: int"),
-    Case("AR211", 10, 13, L, "attempts: 2", "attempts: 2 & >=3"),
-    Case("AR212", 10, 13, L, "attempts: 2", "attempts: 2 & (3 | 4)"),
-    Case("AR212", 11, 15, L, "  attempts: 2\n", '  attempts: 2\n  log: level: "LOUD"\n'),
-    Case("AR213", 3, 16, L, '"127.0.0.1:5081"', '"127.0.0.1"'),
-    Case("AR213", 3, 16, L, '"127.0.0.1:5081"', '"127.0.0.1:99999"'),
-    Case("AR214", 15, 33, I, "[exchange.f-1, exchange.f-2]", "[exchange.f-1, exchange.f-1]"),
-    Case("AR215", 6, 22, L, "give_up: 3s", "give_up: 3sec"),
-    Case("AR215", 6, 22, L, "give_up: 3s", "give_up: 0.0000000001s"),
-    Case("AR216", 4, 11, L, "serves: [district.fukuoka, district.kumamoto]", "serves: []"),
-    Case("AR217", 13, 3, I, 'circuits: 60}\n}', 'circuits: 60}\n'
+    Case("AR203", 6, 22, LIFTS, "give_up: 3s", "give_up: 3000"),
+    Case("AR203", 9, 29, LIFTS, "rate: 50/s", "rate: 50"),
+    Case("AR203", 9, 57, LIFTS, "open: 40%", "open: 0.4"),
+    Case("AR204", 6, 22, LIFTS, "give_up: 3s", "give_up: 3/s"),
+    Case("AR204", 9, 29, LIFTS, "rate: 50/s", "rate: 50s"),
+    Case("AR204", 10, 13, LIFTS, "attempts: 2", "attempts: 2s"),
+    Case("AR205", 10, 13, LIFTS, "attempts: 2", "attempts: 5"),
+    Case("AR205", 1, 36, INVENTORY, "controllers: 2", "controllers: 0"),
+    Case("AR205", 1, 38, INVENTORY, "controllers: 2", "release_pause: 200ms"),
+    Case("AR205", 9, 29, LIFTS, "rate: 50/s", "rate: 0/s"),
+    Case("AR206", 10, 3, LIFTS, "attempts: 2", "atempts: 2"),
+    Case("AR206", 2, 1, LIFTS, "application: lifts", "aplication: x: {}\napplication: lifts"),
+    Case("AR206", 9, 62, LIFTS, "alarm: {open: 40%, rate", "alarm: {open: 40%, rat", ),
+    Case("AR207", 2, 14, LIFTS, "  limits: {open: 100, rate: 50/s, shares: alarm: {open: 40%, rate: 40%}}\n", ""),
+    Case("AR207", 5, 3, INVENTORY, "worth: 4, ", ""),
+    Case("AR207", 3, 11, LIFTS, 'listen: sip: "127.0.0.1:5081"', "listen: {}"),
+    Case("AR208", 4, 30, LIFTS, "district.kumamoto]", "district.kumamto]"),
+    Case("AR208", 6, 61, LIFTS, "fukuoka: pool.f", "fukuoka: pool.ff"),
+    Case("AR208", 7, 5, LIFTS, "report: {give_up", "repport: {give_up"),
+    Case("AR208", 15, 59, INVENTORY, "fallback: [pool.k]", "fallback: [pool.x]"),
+    Case("AR208", 10, 13, LIFTS, "attempts: 2", "attempts: site.tries"),
+    Case("AR209", 10, 13, LIFTS, "attempts: 2", "attempts: application.lifts.attempts"),
+    Case("AR210", 10, 13, LIFTS, "attempts: 2", "attempts: 2 | 3"),
+    Case("AR210", 10, 13, LIFTS, "attempts: 2", "attempts: int"),
+    Case("AR211", 10, 13, LIFTS, "attempts: 2", "attempts: 2 & >=3"),
+    Case("AR212", 10, 13, LIFTS, "attempts: 2", "attempts: 2 & (3 | 4)"),
+    Case("AR212", 11, 15, LIFTS, "  attempts: 2\n", '  attempts: 2\n  log: level: "LOUD"\n'),
+    Case("AR213", 3, 16, LIFTS, '"127.0.0.1:5081"', '"127.0.0.1"'),
+    Case("AR213", 3, 16, LIFTS, '"127.0.0.1:5081"', '"127.0.0.1:99999"'),
+    Case("AR214", 15, 33, INVENTORY, "[exchange.f-1, exchange.f-2]", "[exchange.f-1, exchange.f-1]"),
+    Case("AR215", 6, 22, LIFTS, "give_up: 3s", "give_up: 3sec"),
+    Case("AR215", 6, 22, LIFTS, "give_up: 3s", "give_up: 0.0000000001s"),
+    Case("AR216", 4, 11, LIFTS, "serves: [district.fukuoka, district.kumamoto]", "serves: []"),
+    Case("AR217", 13, 3, INVENTORY, 'circuits: 60}\n}', 'circuits: 60}\n'
          '  "k 3": {district: district.kumamoto, address: "127.0.0.1:6105"}\n}'),
-    # Across the records
-    Case("AR301", 15, 33, I, "exchange.f-2]", "exchange.f-3]"),
-    Case("AR302", 3, 16, P, "127.0.0.1:5082", "127.0.0.1:5081"),
-    Case("AR302", 3, 16, P, "127.0.0.1:5082", "localhost:5081"),
-    Case("AR302", 3, 16, P, "127.0.0.1:5082", "[::ffff:127.0.0.1]:5081"),
-    Case("AR303", 6, 36, L, "time_out: 1300ms", "time_out: 13s"),
-    Case("AR303", 6, 22, L, "give_up: 3s, time_out: 1300ms", "give_up: 10s, time_out: 1300ms"),
-    Case("AR304", 6, 36, L, "time_out: 1300ms", "time_out: 1500ms"),
-    Case("AR305", 7, 52, L, "report: {give_up: 3s, time_out: 1300ms, pools: {fukuoka: pool.f, kumamoto: pool.k}}",
+    # Consistency of records
+    Case("AR301", 15, 33, INVENTORY, "exchange.f-2]", "exchange.f-3]"),
+    Case("AR302", 3, 16, PANELS, "127.0.0.1:5082", "127.0.0.1:5081"),
+    Case("AR302", 3, 16, PANELS, "127.0.0.1:5082", "localhost:5081"),
+    Case("AR302", 3, 16, PANELS, "127.0.0.1:5082", "[::ffff:127.0.0.1]:5081"),
+    Case("AR303", 6, 36, LIFTS, "time_out: 1300ms", "time_out: 13s"),
+    Case("AR303", 6, 22, LIFTS, "give_up: 3s, time_out: 1300ms", "give_up: 10s, time_out: 1300ms"),
+    Case("AR304", 6, 36, LIFTS, "time_out: 1300ms", "time_out: 1500ms"),
+    Case("AR305", 7, 52, LIFTS, "report: {give_up: 3s, time_out: 1300ms, pools: {fukuoka: pool.f, kumamoto: pool.k}}",
          "report: {give_up: 3s, time_out: 1300ms, pools: {fukuoka: pool.f}}"),
-    Case("AR308", 3, 31, I, '["096"]', '["092"]'),
-    Case("AR309", 9, 87, L, "rate: 40%}}", "rate: 40%}, connections: 1010}"),
-    Case("AR310", 9, 18, L, "open: 100", "open: 400"),
-    Case("AR311", 10, 48, I, "127.0.0.1:6102", "127.0.0.1:6101"),
-    Case("AR312", 9, 43, L, "shares: alarm: {open: 40%, rate: 40%}",
+    Case("AR308", 3, 31, INVENTORY, '["096"]', '["092"]'),
+    Case("AR309", 9, 87, LIFTS, "rate: 40%}}", "rate: 40%}, connections: 1010}"),
+    Case("AR310", 9, 18, LIFTS, "open: 100", "open: 400"),
+    Case("AR311", 10, 48, INVENTORY, "127.0.0.1:6102", "127.0.0.1:6101"),
+    Case("AR312", 9, 43, LIFTS, "shares: alarm: {open: 40%, rate: 40%}",
          "shares: {alarm: {open: 60%}, report: {open: 50%}}"),
-    Case("AR314", 3, 16, L, "127.0.0.1:5081", "127.0.0.1:6101"),
-    Case("AR315", 8, 43, L, "    report: {give_up: 3s, time_out: 1300ms, pools: {fukuoka: pool.f, kumamoto: pool.k}}\n"
+    Case("AR314", 3, 16, LIFTS, "127.0.0.1:5081", "127.0.0.1:6101"),
+    Case("AR315", 8, 43, LIFTS, "    report: {give_up: 3s, time_out: 1300ms, pools: {fukuoka: pool.f, kumamoto: pool.k}}\n"
          "  }\n  limits: {open: 100, rate: 50/s, shares: alarm: {",
          "  }\n  limits: {open: 100, rate: 50/s, shares: report: {"),
-    Case("AR316", 5, 41, I, "wanted: 2500ms", "wanted: 10s"),
-    Case("AR317", 10, 3, I, '"f-2": {', '"f-2": {signalling: "m3ua", '),
-    Case("AR318", 3, 16, L, "127.0.0.1:5081", "0.0.0.0:5081"),
-    Case("AR318", 3, 16, L, "127.0.0.1:5081", "10.0.0.1:5081"),
-    Case("AR319", 2, 14, P, "application: panels", "application: lifts"),
-    Case("AR502", 14, 13, L, "  attempts: 2\n", GROUP.replace("7001\"}", "7009\"}")),
-    Case("AR503", 18, 19, L, "  attempts: 2\n", GROUP.replace("10s", "1s")),
-    Case("AR504", 17, 15, L, "  attempts: 2\n", GROUP.replace("send_key: 1", "send_key: 2")),
-    Case("AR504", 16, 11, L, "  attempts: 2\n", GROUP.replace("aaaaaaaaaaaaaaaa", "short")),
-    Case("AR505", 16, 14, L, "  attempts: 2\n",
-         GROUP.replace("    keys", '    joining: {z: "127.0.0.1:7005"}\n    keys')),
-    Case("AR323", 11, 9, L, "  attempts: 2\n", '  attempts: 2\n  list: kind: "etcd"\n'),
+    Case("AR316", 5, 41, INVENTORY, "wanted: 2500ms", "wanted: 10s"),
+    Case("AR317", 10, 3, INVENTORY, '"f-2": {', '"f-2": {signalling: "m3ua", '),
+    Case("AR318", 3, 16, LIFTS, "127.0.0.1:5081", "0.0.0.0:5081"),
+    Case("AR318", 3, 16, LIFTS, "127.0.0.1:5081", "10.0.0.1:5081"),
+    Case("AR319", 2, 14, PANELS, "application: panels", "application: lifts"),
+    Case("AR502", 14, 13, LIFTS, "  attempts: 2\n", GROUP_TEXT.replace("7001\"}", "7009\"}")),
+    Case("AR503", 18, 19, LIFTS, "  attempts: 2\n", GROUP_TEXT.replace("10s", "1s")),
+    Case("AR504", 17, 15, LIFTS, "  attempts: 2\n", GROUP_TEXT.replace("send_key: 1", "send_key: 2")),
+    Case("AR504", 16, 11, LIFTS, "  attempts: 2\n", GROUP_TEXT.replace("aaaaaaaaaaaaaaaa", "short")),
+    Case("AR505", 16, 14, LIFTS, "  attempts: 2\n",
+         GROUP_TEXT.replace("    keys", '    joining: {z: "127.0.0.1:7005"}\n    keys')),
+    Case("AR323", 11, 9, LIFTS, "  attempts: 2\n", '  attempts: 2\n  list: kind: "etcd"\n'),
 )  # fmt: skip
 
-# Edits that bring several faults: all of them are listed, by file, line and column.
-SEVERAL: tuple[tuple[str, str, str, tuple[str, ...]], ...] = (
-    (L, 'listen: sip: "127.0.0.1:5081"', 'listen: {sip: "127.0.0.1:5081", m3ua: "127.0.0.1:5081"}',
+# Edits that cause several faults, all of which are reported, ordered by file, line and column.
+MULTIPLE_FAULTS: tuple[tuple[str, str, str, tuple[str, ...]], ...] = (
+    (LIFTS, 'listen: sip: "127.0.0.1:5081"', 'listen: {sip: "127.0.0.1:5081", m3ua: "127.0.0.1:5081"}',
      ("lifts.rail:3:41 AR302", "lifts.rail:7:5 AR324")),
-    (P, "127.0.0.1:5082", "0.0.0.0:5081", ("panels.rail:3:16 AR302", "panels.rail:3:16 AR318")),
-    (L, "  attempts: 2\n}\n", "  attempts: 2\n}\napplication: more: application.lifts & {}\n",
+    (PANELS, "127.0.0.1:5082", "0.0.0.0:5081", ("panels.rail:3:16 AR302", "panels.rail:3:16 AR318")),
+    (LIFTS, "  attempts: 2\n}\n", "  attempts: 2\n}\napplication: more: application.lifts & {}\n",
      ("lifts.rail:3:16 AR302", "lifts.rail:12:14 AR320")),
-    (L, "serves: [district.fukuoka, district.kumamoto]", "serves: [district.kumamoto]",
+    (LIFTS, "serves: [district.fukuoka, district.kumamoto]", "serves: [district.kumamoto]",
      ("lifts.rail:6:52 AR322", "lifts.rail:7:53 AR322")),
-    (L, "give_up: 3s, time_out: 1300ms", "give_up: 3, time_out: 1300, tries: 4",
+    (LIFTS, "give_up: 3s, time_out: 1300ms", "give_up: 3, time_out: 1300, tries: 4",
      ("lifts.rail:6:22 AR203", "lifts.rail:6:35 AR203", "lifts.rail:6:41 AR206")),
-    (I, "fallback: [pool.k]", "fallback: [pool.k, pool.x], kep: 1%",
+    (INVENTORY, "fallback: [pool.k]", "fallback: [pool.k, pool.x], kep: 1%",
      ("inventory.rail:15:67 AR208", "inventory.rail:15:76 AR206")),
-    (I, "  k: {exchanges: [exchange.k-1, exchange.k-2]}", "  k: {exchanges: [exchange.k-1], fallback: [pool.f]}",
+    (INVENTORY, "  k: {exchanges: [exchange.k-1, exchange.k-2]}", "  k: {exchanges: [exchange.k-1], fallback: [pool.f]}",
      ("inventory.rail:16:45 AR307",)),
-    (I, 'address: "127.0.0.1:6103", circuits: 60}', 'address: "127.0.0.1:6103", circuits: 60, state: "draining"}',
+    (INVENTORY, 'address: "127.0.0.1:6103", circuits: 60}', 'address: "127.0.0.1:6103", circuits: 60, state: "draining"}',
      ()),
-    (I, INVENTORY[INVENTORY.index('  "k-1"') : INVENTORY.index("}\npool")],
+    (INVENTORY, INVENTORY_TEXT[INVENTORY_TEXT.index('  "k-1"') : INVENTORY_TEXT.index("}\npool")],
      '  "k-1": {district: district.kumamoto, address: "127.0.0.1:6103", state: "draining"}\n'
      '  "k-2": {district: district.kumamoto, address: "127.0.0.1:6104", state: "gone"}\n',
-     tuple(f"{file}:{place} AR306" for file in (L, P) for place in ("6:69", "7:70"))),
-    (I, '"f-1": {district: district.fukuoka, address: "127.0.0.1:6101"}',
+     tuple(f"{file}:{place} AR306" for file in (LIFTS, PANELS) for place in ("6:69", "7:70"))),
+    (INVENTORY, '"f-1": {district: district.fukuoka, address: "127.0.0.1:6101"}',
      '"f-1": {district: district.fukuka, address: "127.0.0.1", circuits: 5000}',
      ("inventory.rail:9:21 AR208", "inventory.rail:9:47 AR213", "inventory.rail:9:70 AR205")),
 )  # fmt: skip
--- a/tests/records/test_values.py
+++ b/tests/records/test_values.py
@@ -1,4 +1,4 @@
-"""Values and units: what unification promises, and spellings that read back as the same."""
+"""Unification is commutative and reports conflicts; formatted quantities parse to the same value."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 def read(text: str) -> tuple[Any, list[str]]:
-    faults = Diagnostics()
-    parsed = parse("t", text.encode(), faults)
+    diagnostics = Diagnostics()
+    parsed = parse("t", text.encode(), diagnostics)
     assert isinstance(parsed.own, Struct)
-    found = {label: plain_data(entry.value, faults) for label, entry in parsed.own.public()}
-    return found, [f.code for f in faults]
+    found = {label: plain_data(entry.value, diagnostics) for label, entry in parsed.own.public()}
+    return found, [diagnostic.code for diagnostic in diagnostics]
 
 
 @pytest.mark.parametrize(
@@ -49,7 +49,7 @@
         ("a: 1 // a note\n// another\n", 1),
     ],
 )  # fmt: skip
-def test_what_values_come_to(text: str, value: object) -> None:
+def test_values_unify_to_the_expected_result(text: str, value: object) -> None:
     found, codes = read(text)
     assert codes == [] and found["a"] == value
 
@@ -70,7 +70,7 @@
         ("a: duration & rate", ["AR201"]),
     ],
 )  # fmt: skip
-def test_what_values_exclude_one_another(text: str, codes: list[str]) -> None:
+def test_conflicting_values_report_the_expected_code(text: str, codes: list[str]) -> None:
     assert read(text)[1] == codes
 
 
@@ -82,7 +82,7 @@
 
 @QUICK
 @given(PIECES, st.randoms(use_true_random=False))
-def test_the_order_of_what_is_said_changes_nothing(pieces: list[str], shuffle: Any) -> None:
+def test_unification_does_not_depend_on_order(pieces: list[str], shuffle: Any) -> None:
     other = list(pieces)
     shuffle.shuffle(other)
     one = read("a: " + " & ".join(f"({p})" for p in pieces))
