--- a/arrowrail/config/diagnostics.py
+++ b/arrowrail/config/diagnostics.py
@@ -321,15 +321,17 @@
 
     def __iter__(self) -> Iterator[Diagnostic]:
         """Ordered by file, line and column; a final one counts those omitted beyond the limit."""
-        yield from sorted(self._found.values(), key=lambda f: (f.location, f.code, f.key_path))
+        yield from sorted(
+            self._found.values(), key=lambda found: (found.location, found.code, found.key_path)
+        )
         if self.omitted:
-            last = max(f.location for f in self._found.values())
+            last = max(found.location for found in self._found.values())
             yield Diagnostic("AR111", Location(last.file), "", f"{self.omitted} more")
 
     @property
     def has_faults(self) -> bool:
         """Whether any diagnostic is more severe than a warning."""
-        return self.omitted > 0 or any(f.severity == FAULT for f in self._found.values())
+        return self.omitted > 0 or any(found.severity == FAULT for found in self._found.values())
 
 
 def quote(text: object) -> str:
--- a/arrowrail/config/explain.py
+++ b/arrowrail/config/explain.py
@@ -13,6 +13,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
+    """The lines to print, and whether the key or code is known."""
+
     known: bool
     lines: tuple[str, ...]
 
--- a/arrowrail/config/legacy_toml.py
+++ b/arrowrail/config/legacy_toml.py
@@ -55,12 +55,12 @@
 
 
 class DeskTable(Table):
-    uid: Name = Field(description="1 to 64 characters, its own")
+    uid: Name = Field(description="1 to 64 characters, unique")
     address: Address = Field(description='"address:port"')
     point_code: PointCode = Field(description="0 to 16777215")
     exchange: int = Field(ge=0, le=65535, description="0 to 65535")
     zone: str = Field("", description="a text")
-    circuits: int = Field(0, ge=0, le=4095, description="1 to 4095, or 0 for the common figure")
+    circuits: int = Field(0, ge=0, le=4095, description="1 to 4095, or 0 for the common value")
 
 
 class M3uaTable(Table):
--- a/arrowrail/config/rules.py
+++ b/arrowrail/config/rules.py
@@ -565,7 +565,7 @@
                     "AR506",
                     group.location_of("members"),
                     f"{key_path}.members",
-                    f"{', '.join(sorted(group.members))} here, {', '.join(sorted(first.members))} there",
+                    f"{', '.join(sorted(group.members))} differ from {', '.join(sorted(first.members))}",
                     other=first.location_of("members"),
                 )
             previous = group_by_instance.setdefault(group.me, group)
--- a/arrowrail/config/schema.py
+++ b/arrowrail/config/schema.py
@@ -83,6 +83,8 @@
 
 
 class _Ranged(ValueType):
+    """Base of numeric types with an optional lower and upper bound."""
+
     def __init__(self, low: Any = None, high: Any = None) -> None:
         self.low, self.high = low, high
 
@@ -212,6 +214,8 @@
 
 
 class OneOf(String):
+    """One of a fixed set of strings."""
+
     def __init__(self, *options: str) -> None:
         super().__init__()
         self.options = options
@@ -227,6 +231,8 @@
 
 
 class DigitString(String):
+    """One to 32 digits of a telephone number."""
+
     name = "digits 0-9 and A-E"
 
     def validate(self, text: str, found: Scalar, context: ReadContext, key_path: str) -> Any:
@@ -372,6 +378,8 @@
 
 
 class RecordOf(ValueType):
+    """A nested record."""
+
     def __init__(self, record: type[Any]) -> None:
         self.record = record
         self.name = "a record"
--- a/arrowrail/config/syntax.py
+++ b/arrowrail/config/syntax.py
@@ -52,6 +52,8 @@
 
 @dataclass(slots=True)
 class Include:
+    """An ``include`` statement."""
+
     location: Location
     path: str
 
@@ -116,7 +118,7 @@
                 return Scalar(location, "null", None)
             if first in TYPES:
                 return Constraint(location, TYPES[first])
-        return Reference(location, tuple(self._name(c) for c in children), self.scope)
+        return Reference(location, tuple(self._name(child) for child in children), self.scope)
 
     def bound(self, children: list[Any]) -> Value:
         op, value = children
@@ -149,7 +151,7 @@
         return (children[0], children[1]) if len(children) == 2 else (None, children[0])
 
     def disjunction(self, children: list[Any]) -> tuple[None, Value]:
-        alternatives = [c for c in children if isinstance(c, tuple)]
+        alternatives = [child for child in children if isinstance(child, tuple)]
         if len(alternatives) > MAX_ALTERNATIVES:
             self.diagnostics.append(
                 DiagnosticError(
@@ -158,7 +160,7 @@
             )
             return None, alternatives[0][1]
         return None, Disjunction(
-            alternatives[0][1].location, tuple((star is not None, v) for star, v in alternatives)
+            alternatives[0][1].location, tuple((star is not None, value) for star, value in alternatives)
         )
 
     def _single_value(self, child: Any) -> Value:
@@ -178,7 +180,9 @@
         return self._single_value(children[0])
 
     def array(self, children: list[Any]) -> Value:
-        return ListValue(self._location(children[0]), tuple(self._single_value(c) for c in children[1:]))
+        return ListValue(
+            self._location(children[0]), tuple(self._single_value(child) for child in children[1:])
+        )
 
     def label(self, children: list[Token]) -> tuple[str, Location]:
         token = children[0]
@@ -213,9 +217,11 @@
         return Include(self._location(children[0]), self._text(children[1]))
 
     def start(self, children: list[Any]) -> Parsed:
-        own = self._struct(Location(self.file, 1, 1), [c for c in children if isinstance(c, tuple)])
+        own = self._struct(
+            Location(self.file, 1, 1), [child for child in children if isinstance(child, tuple)]
+        )
         self.scope.root = own
-        return Parsed(own, self.scope, [c for c in children if isinstance(c, Include)])
+        return Parsed(own, self.scope, [child for child in children if isinstance(child, Include)])
 
 
 def _may_backtrack(pattern: str) -> bool:
--- a/arrowrail/config/values.py
+++ b/arrowrail/config/values.py
@@ -28,9 +28,11 @@
 
 @dataclass(slots=True)
 class Scalar:
+    """A single value, or a quantity in the base unit of its kind."""
+
     location: Location
     kind: str
-    value: Any  # str, int, float, bool, None, or the quantity in its base unit
+    value: Any  # str, int, float, bool, None, or the Fraction of a rate or share
 
     def __str__(self) -> str:
         if self.kind == STRING:
@@ -62,6 +64,8 @@
 
 @dataclass(slots=True)
 class Entry:
+    """A labelled value of a struct."""
+
     location: Location  # of the label
     value: Value
 
@@ -241,7 +245,7 @@
     if isinstance(one, ListValue) and isinstance(other, ListValue):
         if len(one.items) != len(other.items):
             raise DiagnosticError("AR201", other.location, "two lists of different lengths", one.location)
-        items = tuple(conjoin(a, b) for a, b in zip(one.items, other.items, strict=True))
+        items = tuple(conjoin(first, second) for first, second in zip(one.items, other.items, strict=True))
         return ListValue(one.location, items)
     if isinstance(one, Constraint) and isinstance(other, Constraint):
         return _intersect(one, other)
@@ -253,10 +257,10 @@
     if isinstance(one, Scalar) and isinstance(other, Scalar):
         same = one.value == other.value and (one.kind == other.kind or {one.kind, other.kind} == {INT, FLOAT})
         if not same:
-            raise DiagnosticError("AR201", other.location, f"{other} here, {one} there", one.location)
+            raise DiagnosticError("AR201", other.location, f"{other} conflicts with {one}", one.location)
         return one
     raise DiagnosticError(
-        "AR201", other.location, f"{describe(other)} here, {describe(one)} there", one.location
+        "AR201", other.location, f"{describe(other)} conflicts with {describe(one)}", one.location
     )
 
 
@@ -281,7 +285,10 @@
                 continue
             if not isinstance(both, Bottom):
                 both_default = default and (other_default if isinstance(other, Disjunction) else True)
-                if all(not _same_scalar(both, k) or d != both_default for d, k in compatible):
+                if all(
+                    not _same_scalar(both, kept) or kept_default != both_default
+                    for kept_default, kept in compatible
+                ):
                     compatible.append((both_default, both))
     if not compatible:
         options = " | ".join(
@@ -311,9 +318,9 @@
 def _intersect(one: Constraint, other: Constraint) -> Constraint:
     kinds = one.kinds if other.kinds is None else other.kinds
     if one.kinds is not None and other.kinds is not None:
-        kinds = tuple(k for k in one.kinds if k in other.kinds)
+        kinds = tuple(kind for kind in one.kinds if kind in other.kinds)
         if not kinds:
-            raise DiagnosticError("AR201", other.location, f"{other} here, {one} there", one.location)
+            raise DiagnosticError("AR201", other.location, f"{other} conflicts with {one}", one.location)
     return Constraint(one.location, kinds, one.bounds + other.bounds)
 
 
--- a/arrowrail/config/writer.py
+++ b/arrowrail/config/writer.py
@@ -56,6 +56,8 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
+    """The file, whether it changed, and the edits that were overwritten."""
+
     path: Path
     changed: bool
     discarded: tuple[str, ...] = ()
