--- a/arrowrail/duties/assign.py
+++ b/arrowrail/duties/assign.py
@@ -12,8 +12,8 @@
 
 import xxhash
 
-SHARDS = 64  # leases that all duties of a group share: the same in all instances of a version
-SLACK = 1.25  # of the even load that one member takes at most
+SHARD_COUNT = 64  # leases that all duties of a group share: the same in all instances of a version
+MAX_LOAD_FACTOR = 1.25  # of the even load that one member takes at most
 
 
 def score(duty: str, member: str) -> int:
@@ -22,46 +22,48 @@
 
 def shard_of(duty: str) -> str:
     """The lease that a duty is run under; it never changes, so that its epochs only grow."""
-    return f"shard:{xxhash.xxh3_64_intdigest(duty.encode()) % SHARDS}"
+    return f"shard:{xxhash.xxh3_64_intdigest(duty.encode()) % SHARD_COUNT}"
 
 
-def order(duty: str, members: Iterable[str]) -> list[str]:
+def rank_members(duty: str, members: Iterable[str]) -> list[str]:
     """The members from the best for this duty to the last."""
     return sorted(members, key=lambda m: (-score(duty, m), m))
 
 
-def capacity(duties: int, members: int, slack: float = SLACK) -> int:
+def member_capacity(duties: int, members: int, load_factor: float = MAX_LOAD_FACTOR) -> int:
     """Duties that one member takes at most, so that all find a place."""
-    return max(1, -(-int(duties * slack * 1000) // (members * 1000))) if members else 0
+    return max(1, -(-int(duties * load_factor * 1000) // (members * 1000))) if members else 0
 
 
-def assign(duties: Iterable[str], members: Iterable[str], slack: float = SLACK) -> dict[str, str]:
+def assign(
+    duties: Iterable[str], members: Iterable[str], load_factor: float = MAX_LOAD_FACTOR
+) -> dict[str, str]:
     """The member of each duty; empty where there is no member.
 
     Duties are placed in the order of their own hash, so that which of them find a member full does not depend
     on how they are listed.
     """
-    known = sorted(set(members))
-    named = sorted(set(duties), key=lambda d: (score(d, ""), d))
-    if not known:
+    known_members = sorted(set(members))
+    ordered = sorted(set(duties), key=lambda duty: (score(duty, ""), duty))
+    if not known_members:
         return {}
-    most = capacity(len(named), len(known), slack)
-    load = dict.fromkeys(known, 0)
-    placed: dict[str, str] = {}
-    for duty in named:
+    limit = member_capacity(len(ordered), len(known_members), load_factor)
+    load = dict.fromkeys(known_members, 0)
+    placements: dict[str, str] = {}
+    for duty in ordered:
         # Mostly the best has room: the whole order is worked out only where it has not.
-        best = max(known, key=lambda m: (score(duty, m), m))
-        if load[best] >= most:
-            best = next(m for m in order(duty, known) if load[m] < most)
+        best = max(known_members, key=lambda m: (score(duty, m), m))
+        if load[best] >= limit:
+            best = next(m for m in rank_members(duty, known_members) if load[m] < limit)
         load[best] += 1
-        placed[duty] = best
-    return placed
+        placements[duty] = best
+    return placements
 
 
-def of(member: str, placed: Mapping[str, str]) -> list[str]:
-    return sorted(duty for duty, at in placed.items() if at == member)
+def duties_of(member: str, placements: Mapping[str, str]) -> list[str]:
+    return sorted(duty for duty, placed_on in placements.items() if placed_on == member)
 
 
-def moved(before: Mapping[str, str], after: Mapping[str, str]) -> int:
+def count_moved(before: Mapping[str, str], after: Mapping[str, str]) -> int:
     """How many duties have another member than before."""
-    return sum(1 for duty, at in after.items() if before.get(duty) != at)
+    return sum(1 for duty, member in after.items() if before.get(duty) != member)
--- a/arrowrail/group/plan.py
+++ b/arrowrail/group/config.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from arrowrail.leases.terms import Terms
+from arrowrail.leases.config import LeaseConfig
 
 
 @dataclass(frozen=True, slots=True)
-class GroupPlan:
+class GroupConfig:
     group: str
     name: str  # this instance's own
     listen: str  # where the others reach it
@@ -18,13 +18,13 @@
     joining: Mapping[str, str]  # those who will, while the group changes
     seeds: tuple[str, ...]
     keys: Mapping[int, bytes]
-    key: int  # the one that is sent under
+    send_key: int  # the one that is sent under
     lease_ns: int
     drift_ppm: int
-    memory: str  # the folder of promises; empty: none, and a start sits a lease out
-    control: str  # the control socket's path; empty: none
+    promise_dir: str  # the folder of promises; empty: none, and a start sits a lease out
+    control_path: str  # the control socket's path; empty: none
     probe_period_ns: int  # of each exchange; 0: exchanges are not probed
     probe_time_out_ns: int
 
-    def terms(self) -> Terms:
-        return Terms(self.lease_ns, self.drift_ppm, frozenset(self.members), frozenset(self.joining))
+    def lease_config(self) -> LeaseConfig:
+        return LeaseConfig(self.lease_ns, self.drift_ppm, frozenset(self.members), frozenset(self.joining))
--- a/arrowrail/group/instance.py
+++ b/arrowrail/group/instance.py
@@ -10,132 +10,139 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from arrowrail.duties.assign import assign, of, shard_of
-from arrowrail.duties.hints import Hint, Hints
-from arrowrail.duties.timing import Timing
-from arrowrail.group.plan import GroupPlan
-from arrowrail.leases.batch import Batch, pack
-from arrowrail.leases.office import Office, Outbox
-from arrowrail.leases.promise import Ask, Promise, Release, Reply
-from arrowrail.membership.swim import Ack, Ping, PingFor, Settings, Swim, Sync
+from arrowrail.duties.assign import assign, duties_of, shard_of
+from arrowrail.duties.probe_results import ProbeResult, ProbeResults
+from arrowrail.duties.run_schedule import RunSchedule
+from arrowrail.group.config import GroupConfig
+from arrowrail.leases.batch import Batch, pack_batches
+from arrowrail.leases.manager import LeaseManager, Outbox
+from arrowrail.leases.promise import AcquireRequest, Promise, Release, Reply
+from arrowrail.membership.swim import Ack, Ping, PingRequest, Swim, SwimSettings, Sync
 
-DEFAULTS = Settings()
-HINT_TO = 16  # members that a hint is told to at once: in a larger group, that many drawn at random
-LeaseMessage = Ask | Reply | Release
-Message = Ping | Ack | PingFor | Sync | LeaseMessage | Batch | Hint
+DEFAULT_SWIM_SETTINGS = SwimSettings()
+RESULT_FANOUT = 16  # members that a hint is told to at once: in a larger group, that many drawn at random
+LeaseMessage = AcquireRequest | Reply | Release
+Message = Ping | Ack | PingRequest | Sync | LeaseMessage | Batch | ProbeResult
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class DutyRun:
     """A run of a duty that may begin now, under the epoch that fences it."""
 
     duty: str
     epoch: int
-    run: int
+    number: int
 
 
 @dataclass(slots=True)
-class Out:
+class Effects:
     promises: dict[str, Promise] = field(default_factory=dict)
     messages: list[tuple[str, str, Message]] = field(default_factory=list)  # address, name or "", what
-    runs: list[Run] = field(default_factory=list)
+    runs: list[DutyRun] = field(default_factory=list)
 
 
 class Instance:
     def __init__(
-        self, plan: GroupPlan, now: int, seed: int, kept: Mapping[str, Promise] | None, floor: int = 0,
-        swim: Settings = DEFAULTS,
-    ) -> None:  # fmt: skip
-        self.plan = plan
+        self,
+        config: GroupConfig,
+        now: int,
+        seed: int,
+        stored: Mapping[str, Promise] | None,
+        min_epoch: int = 0,
+        swim_settings: SwimSettings = DEFAULT_SWIM_SETTINGS,
+    ) -> None:
+        self.config = config
         self.random = random.Random(seed)
-        seeds = (*plan.seeds, *plan.members.values(), *plan.joining.values())
-        self.swim = Swim(plan.name, plan.listen, dict.fromkeys(seeds), now, seed, swim)
-        self.office = Office(plan.name, plan.terms(), now, seed + 1, kept, floor)
-        self.hints = Hints(3 * max(plan.probe_period_ns, 1))
+        seeds = (*config.seeds, *config.members.values(), *config.joining.values())
+        self.swim = Swim(config.name, config.listen, dict.fromkeys(seeds), now, seed, swim_settings)
+        self.lease_manager = LeaseManager(
+            config.name, config.lease_config(), now, seed + 1, stored, min_epoch
+        )
+        self.probe_results = ProbeResults(3 * max(config.probe_period_ns, 1))
         self.duties: tuple[str, ...] = ()
-        self.timings: dict[str, Timing] = {}
+        self.schedules: dict[str, RunSchedule] = {}
         self.shards: dict[str, str] = {}  # by duty: the lease that it is run under
-        self.placed: dict[str, str] = {}  # by shard: the member that is to hold it
+        self.placements: dict[str, str] = {}  # by shard: the member that is to hold it
         self._members: tuple[str, ...] = ()
-        self._dirty = True
+        self._needs_assignment = True
 
-    def use(self, plan: GroupPlan) -> None:
+    def update_config(self, config: GroupConfig) -> None:
         """A reload: other voters, keys, periods; what is held runs out under what it was granted by."""
-        self.plan = plan
-        self.office.use(plan.terms())
-        self.swim.seeds = [s for s in (*plan.seeds, *plan.members.values(), *plan.joining.values())
-                           if s != plan.listen]  # fmt: skip
-        self._dirty = True
+        self.config = config
+        self.lease_manager.update_config(config.lease_config())
+        self.swim.seeds = [s for s in (*config.seeds, *config.members.values(), *config.joining.values())
+                           if s != config.listen]  # fmt: skip
+        self._needs_assignment = True
 
     def set_duties(self, duties: Iterable[str]) -> None:
         self.duties = tuple(sorted(duties))
-        self._dirty = True
+        self._needs_assignment = True
 
-    def epoch(self, duty: str, now: int) -> int:
+    def held_epoch(self, duty: str, now: int) -> int:
         """The epoch under which a duty may be run at this moment; 0: it may not."""
-        return self.office.holds(self.shards.get(duty, ""), now)
+        return self.lease_manager.held_epoch(self.shards.get(duty, ""), now)
 
     # --- Time and messages ------------------------------------------------------------------------------
 
-    def tick(self, now: int) -> Out:
-        out = Out()
-        out.messages += [(address, "", m) for address, m in self.swim.tick(now)]
-        self._assign(now, out)
-        self._lease(self.office.tick(now), out)
-        for duty, timing in self.timings.items():
-            epoch = self.epoch(duty, now)
+    def tick(self, now: int) -> Effects:
+        effects = Effects()
+        effects.messages += [(address, "", message) for address, message in self.swim.tick(now)]
+        self._assign(now, effects)
+        self._add_lease_messages(self.lease_manager.tick(now), effects)
+        for duty, schedule in self.schedules.items():
+            epoch = self.held_epoch(duty, now)
             if not epoch:
-                timing.lost()
+                schedule.clear_epoch()
                 continue
-            timing.held(now, epoch)
-            run = timing.take(now)
-            if run:
-                out.runs.append(Run(duty, epoch, run))
-        return out
-
-    def receive(self, now: int, sender: str, message: Message) -> Out:
-        out = Out()
-        if isinstance(message, Hint):
+            schedule.set_epoch(now, epoch)
+            number = schedule.start_next_run(now)
+            if number:
+                effects.runs.append(DutyRun(duty, epoch, number))
+        return effects
+
+    def receive(self, now: int, sender: str, message: Message) -> Effects:
+        effects = Effects()
+        if isinstance(message, ProbeResult):
             if message.holder == sender:
-                self.hints.hear(now, message)
-        elif isinstance(message, Ask | Reply | Release):
-            self._lease(self.office.receive(now, sender, message), out)
+                self.probe_results.record(now, message)
+        elif isinstance(message, AcquireRequest | Reply | Release):
+            self._add_lease_messages(self.lease_manager.receive(now, sender, message), effects)
         elif isinstance(message, Batch):
-            together = Outbox()
-            for one in message.messages:
-                box = self.office.receive(now, sender, one)
-                together.promises |= box.promises
-                together.messages += box.messages
-            self._lease(together, out)
+            combined = Outbox()
+            for item in message.messages:
+                outbox = self.lease_manager.receive(now, sender, item)
+                combined.promises |= outbox.promises
+                combined.messages += outbox.messages
+            self._add_lease_messages(combined, effects)
         elif message.sender == sender:
-            out.messages += [(address, "", m) for address, m in self.swim.receive(now, message)]
-        return out
+            effects.messages += [(address, "", answer) for address, answer in self.swim.receive(now, message)]
+        return effects
 
-    def _assign(self, now: int, out: Out) -> None:
-        members = tuple(self.swim.alive())
+    def _assign(self, now: int, effects: Effects) -> None:
+        members = tuple(self.swim.live_members())
         self.swim.changes.clear()
-        if members == self._members and not self._dirty:
+        if members == self._members and not self._needs_assignment:
             return
-        self._members, self._dirty = members, False
+        self._members, self._needs_assignment = members, False
         self.shards = {duty: shard_of(duty) for duty in self.duties}
-        self.placed = assign(self.shards.values(), members)
-        mine = set(of(self.plan.name, self.placed))
-        self._lease(self.office.want(mine, now), out)
-        period = self.plan.probe_period_ns
-        held = (d for d in self.duties if self.shards[d] in mine)
-        self.timings = {d: self.timings.get(d) or Timing(d, period) for d in held}
-        for timing in self.timings.values():
-            timing.period_ns = period
-
-    def _lease(self, box: object, out: Out) -> None:
-        out.promises |= box.promises  # type: ignore[attr-defined]
-        for name, message in pack(box.messages):  # type: ignore[attr-defined]
-            address = self.address(name)
+        self.placements = assign(self.shards.values(), members)
+        own_shards = set(duties_of(self.config.name, self.placements))
+        self._add_lease_messages(self.lease_manager.set_wanted(own_shards, now), effects)
+        period_ns = self.config.probe_period_ns
+        own_duties = (d for d in self.duties if self.shards[d] in own_shards)
+        self.schedules = {d: self.schedules.get(d) or RunSchedule(d, period_ns) for d in own_duties}
+        for schedule in self.schedules.values():
+            schedule.period_ns = period_ns
+
+    def _add_lease_messages(self, outbox: object, effects: Effects) -> None:
+        effects.promises |= outbox.promises  # type: ignore[attr-defined]
+        for name, message in pack_batches(outbox.messages):  # type: ignore[attr-defined]
+            address = self.address_of(name)
             if address:
-                out.messages.append((address, name, message))
+                effects.messages.append((address, name, message))
 
-    def address(self, name: str) -> str:
-        known = self.plan.members.get(name) or self.plan.joining.get(name)
+    def address_of(self, name: str) -> str:
+        known = self.config.members.get(name) or self.config.joining.get(name)
         if known:
             return known
         member = self.swim.members.get(name)
@@ -143,24 +150,24 @@
 
     # --- Runs -------------------------------------------------------------------------------------------
 
-    def may_go_on(self, now: int, run: Run) -> bool:
+    def is_current(self, now: int, run: DutyRun) -> bool:
         """Asked again right before anything leaves: the lease may have passed since it was due."""
-        return self.epoch(run.duty, now) == run.epoch
+        return self.held_epoch(run.duty, now) == run.epoch
 
-    def ran(self, now: int, run: Run, passed: bool, lag_ns: int) -> Out:
+    def run_finished(self, now: int, run: DutyRun, passed: bool, latency_ns: int) -> Effects:
         """A run is over: heard here, and told to the others."""
-        hint = Hint(run.duty, self.plan.name, run.epoch, run.run, passed, lag_ns, 0)
-        self.hints.hear(now, hint)
-        others = [m for m in self._members if m != self.plan.name]
-        if len(others) > HINT_TO:
-            others = self.random.sample(others, HINT_TO)
-        out = Out()
-        out.messages = [(self.address(m), m, hint) for m in others if self.address(m)]
-        return out
-
-    def leave(self, now: int) -> Out:
+        result = ProbeResult(run.duty, self.config.name, run.epoch, run.number, passed, latency_ns, 0)
+        self.probe_results.record(now, result)
+        others = [name for name in self._members if name != self.config.name]
+        if len(others) > RESULT_FANOUT:
+            others = self.random.sample(others, RESULT_FANOUT)
+        effects = Effects()
+        effects.messages = [(self.address_of(name), name, result) for name in others if self.address_of(name)]
+        return effects
+
+    def leave(self, now: int) -> Effects:
         """Before the end: duties are given back, and the others told."""
-        out = Out()
-        self._lease(self.office.want((), now), out)
-        out.messages += [(address, "", m) for address, m in self.swim.leave()]
-        return out
+        effects = Effects()
+        self._add_lease_messages(self.lease_manager.set_wanted((), now), effects)
+        effects.messages += [(address, "", message) for address, message in self.swim.leave()]
+        return effects
--- a/arrowrail/group/runtime.py
+++ b/arrowrail/group/runtime.py
@@ -14,58 +14,63 @@
 from loguru import logger
 
 from arrowrail.core.requests import MS
-from arrowrail.group.instance import Instance, Message, Out, Run
-from arrowrail.group.plan import GroupPlan
+from arrowrail.group.config import GroupConfig
+from arrowrail.group.instance import DutyRun, Effects, Instance, Message
 from arrowrail.leases.batch import Batch
-from arrowrail.leases.promise import Ask, Promise, Reply
+from arrowrail.leases.promise import AcquireRequest, Promise, Reply
 from arrowrail.loop import READ, Loop
-from arrowrail.membership.guard import FRESH, Guard
-from arrowrail.scheduling.scheduler import NORMAL, Budgets, Kind, Scheduler, Slices
-from arrowrail.storage.keeper import Keeper
+from arrowrail.membership.replay import FRESH, ReplayFilter
+from arrowrail.scheduling.scheduler import NORMAL, Budgets, JobSpec, Scheduler, SliceGenerator
+from arrowrail.storage.file_writer import FileWriter
 from arrowrail.wire.group.messages import GroupError, decode, encode
 from arrowrail.wire.group.transport import Transport
 
 TICK_NS = 100 * MS
-Probe = Callable[[Run, Callable[[bool], None]], bool]  # starts one; false: it can't leave
+StartProbe = Callable[[DutyRun, Callable[[bool], None]], bool]  # starts one; false: it can't leave
 
 
-def read_promises(path: Path) -> dict[str, Promise] | None:
+def load_promises(path: Path) -> dict[str, Promise] | None:
     """What was promised before; ``None`` where nothing is there or it can't be read."""
     try:
         raw = msgspec.msgpack.decode(path.read_bytes())
-        return {d: Promise(int(e), str(h), 0, int(n)) for d, e, h, n in raw["promises"]}
+        return {
+            duty: Promise(int(epoch), str(holder), 0, int(duration))
+            for duty, epoch, holder, duration in raw["promises"]
+        }
     except FileNotFoundError:
         return None
-    except (OSError, msgspec.DecodeError, KeyError, TypeError, ValueError) as wrong:
-        logger.warning("promises of before can't be read, a lease is sat out: {!r}", wrong)
+    except (OSError, msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
+        logger.warning("promises of before can't be read, a lease is sat out: {!r}", error)
         return None
 
 
-class Group:
-    def __init__(self, loop: Loop, plan: GroupPlan, probe: Probe, seed: int) -> None:
-        self.loop, self.plan, self.probe = loop, plan, probe
-        self.boot, self.number = time.time_ns(), 0
-        kept = None
-        self.keeper: Keeper | None = None
-        if plan.memory:
-            path = Path(plan.memory) / f"{plan.name}.promises"
-            kept = read_promises(path)
-            self.keeper = Keeper(loop, path)
+class GroupRuntime:
+    def __init__(self, loop: Loop, config: GroupConfig, start_probe: StartProbe, seed: int) -> None:
+        self.loop, self.config, self.start_probe = loop, config, start_probe
+        self.boot, self.sequence = time.time_ns(), 0
+        stored = None
+        self.promise_file: FileWriter | None = None
+        if config.promise_dir:
+            path = Path(config.promise_dir) / f"{config.name}.promises"
+            stored = load_promises(path)
+            self.promise_file = FileWriter(loop, path)
         # Without memory, epochs begin above all that a life before this second can have used.
-        floor = 0 if kept is not None else (self.boot // 10**9) << 20
-        self.instance = Instance(plan, loop.now, seed, kept, floor)
+        min_epoch = 0 if stored is not None else (self.boot // 10**9) << 20
+        self.instance = Instance(config, loop.now, seed, stored, min_epoch)
         self.scheduler = Scheduler(Budgets(), seed, loop.now)
-        self.guard = Guard()
-        self.counted: dict[str, int] = {}  # datagrams that were not taken, by reason
-        self.transport = Transport(loop, plan.bind, self._received)
-        self.control = Control(loop, plan.control, self.report) if plan.control else None
-        self.runs = 0
+        self.replay_filter = ReplayFilter()
+        self.dropped: dict[str, int] = {}  # datagrams that were not taken, by reason
+        self.transport = Transport(loop, config.bind, self._on_datagram)
+        self.control_socket = (
+            ControlSocket(loop, config.control_path, self.report) if config.control_path else None
+        )
+        self.probes_started = 0
         self._closing = False
         loop.deadlines.at(loop.now, self._tick)
 
-    def use(self, plan: GroupPlan) -> None:
-        self.plan = plan
-        self.instance.use(plan)
+    def update_config(self, config: GroupConfig) -> None:
+        self.config = config
+        self.instance.update_config(config)
 
     def set_duties(self, duties: Iterable[str]) -> None:
         self.instance.set_duties(duties)
@@ -75,105 +80,113 @@
     def _tick(self) -> None:
         if self._closing:
             return
-        self._carry(self.instance.tick(self.loop.now))
+        self._apply(self.instance.tick(self.loop.now))
         self.loop.deadlines.at(self.loop.now + TICK_NS, self._tick)
 
-    def background(self, busy: bool) -> None:
+    def run_background(self, busy: bool) -> None:
         """Once a turn of the loop, after the calls."""
         if self.scheduler.jobs:
-            self.scheduler.turn(self.loop.now, time.monotonic_ns, busy)
-            due = self.scheduler.next_at(self.loop.now)
+            self.scheduler.run_turn(self.loop.now, time.monotonic_ns, busy)
+            due = self.scheduler.next_due_at(self.loop.now)
             if due is not None:
                 self.loop.deadlines.at(max(due, self.loop.now + MS), lambda: None)
 
-    def _carry(self, out: Out) -> None:
-        for run in out.runs:
-            self.scheduler.ask(
-                Kind(f"{run.duty}#{run.run}", partial(self._slices, run), priority=NORMAL,
-                     deadline_ns=self.plan.probe_period_ns), self.loop.now)  # fmt: skip
-        leases = any(isinstance(message, Ask | Reply | Batch) for _, _, message in out.messages)
+    def _apply(self, effects: Effects) -> None:
+        for run in effects.runs:
+            self.scheduler.submit(
+                JobSpec(f"{run.duty}#{run.number}", partial(self._probe_slices, run), priority=NORMAL,
+                     deadline_ns=self.config.probe_period_ns), self.loop.now)  # fmt: skip
+        has_lease_messages = any(
+            isinstance(message, AcquireRequest | Reply | Batch) for _, _, message in effects.messages
+        )
         # While a promise is being written, what may rest on it waits for the same write or the next.
-        if self.keeper is not None and (out.promises or (leases and self.keeper.busy)):
-            self.keeper.keep(self._snapshot(), lambda safe: self._send(out) if safe else None)
+        if self.promise_file is not None and (
+            effects.promises or (has_lease_messages and self.promise_file.writing)
+        ):
+            self.promise_file.write(
+                self._encode_promises(), lambda stored: self._send(effects) if stored else None
+            )
         else:
-            self._send(out)
+            self._send(effects)
 
-    def _snapshot(self) -> bytes:
-        promises = self.instance.office.promises
+    def _encode_promises(self) -> bytes:
+        promises = self.instance.lease_manager.promises
         return msgspec.msgpack.encode(
-            {"version": 1, "promises": [[d, p.epoch, p.holder, p.length_ns] for d, p in promises.items()]}
+            {"version": 1, "promises": [[d, p.epoch, p.holder, p.duration_ns] for d, p in promises.items()]}
         )
 
-    def _send(self, out: Out) -> None:
-        for address, name, message in out.messages:
-            self._send_one(address, name, message)
+    def _send(self, effects: Effects) -> None:
+        for address, name, message in effects.messages:
+            self._send_message(address, name, message)
 
-    def _send_one(self, address: str, name: str, message: Message) -> None:
-        self.number += 1
-        head = (self.plan.group, self.plan.name, name, self.boot, self.number)
-        self.transport.send(address, encode(self.plan.keys, self.plan.key, head, message))
+    def _send_message(self, address: str, name: str, message: Message) -> None:
+        self.sequence += 1
+        header = (self.config.group, self.config.name, name, self.boot, self.sequence)
+        self.transport.send(address, encode(self.config.keys, self.config.send_key, header, message))
 
-    def _received(self, data: bytes) -> None:
+    def _on_datagram(self, data: bytes) -> None:
         try:
-            (group, sender, to, boot, number), message = decode(self.plan.keys, data)
-        except GroupError as wrong:
-            self._count(str(wrong))
+            (group, sender, receiver, boot, sequence), message = decode(self.config.keys, data)
+        except GroupError as error:
+            self._count_drop(str(error))
             return
-        if group != self.plan.group or to not in ("", self.plan.name) or sender == self.plan.name:
-            self._count("foreign")
+        if group != self.config.group or receiver not in ("", self.config.name) or sender == self.config.name:
+            self._count_drop("foreign")
             return
-        judged = self.guard.judge(sender, boot, number)
-        if judged != FRESH:
-            self._count(judged)
+        freshness = self.replay_filter.check(sender, boot, sequence)
+        if freshness != FRESH:
+            self._count_drop(freshness)
             return
-        self._carry(self.instance.receive(self.loop.now, sender, message))
+        self._apply(self.instance.receive(self.loop.now, sender, message))
 
-    def _count(self, reason: str) -> None:
-        self.counted[reason] = self.counted.get(reason, 0) + 1
+    def _count_drop(self, reason: str) -> None:
+        self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
     # --- Runs -------------------------------------------------------------------------------------------
 
-    def _slices(self, run: Run) -> Slices:
+    def _probe_slices(self, run: DutyRun) -> SliceGenerator:
         """One probe.  The clock of the turn is the latest that was read: a lease that is over stops it."""
         yield
-        began = self.loop.now
-        if not self.instance.may_go_on(began, run):
+        started_at = self.loop.now
+        if not self.instance.is_current(started_at, run):
             return
 
-        def done(passed: bool) -> None:
-            self._carry(self.instance.ran(self.loop.now, run, passed, self.loop.now - began))
+        def on_done(passed: bool) -> None:
+            self._apply(self.instance.run_finished(self.loop.now, run, passed, self.loop.now - started_at))
 
-        if self.probe(run, done):
-            self.runs += 1
+        if self.start_probe(run, on_done):
+            self.probes_started += 1
 
     def report(self) -> dict[str, object]:
         """For operators, over the control socket."""
-        now, i = self.loop.now, self.instance
+        now, instance = self.loop.now, self.instance
         return {
-            "group": self.plan.group, "name": self.plan.name, "dropped": self.counted,
-            "health": i.swim.health, "unsent": self.transport.unsent,
+            "group": self.config.group, "name": self.config.name, "dropped": self.dropped,
+            "health": instance.swim.health_score, "unsent": self.transport.unsent,
             "members": [
-                {"name": n, "address": a, "state": s, "incarnation": inc, "for_ms": since // MS}
-                for n, a, s, inc, since in i.swim.states(now)
+                {"name": name, "address": address, "state": state, "incarnation": incarnation,
+                 "for_ms": age_ns // MS}
+                for name, address, state, incarnation, age_ns in instance.swim.member_states(now)
             ],
             "duties": [
-                {"duty": d, "placed_at": i.placed.get(i.shards.get(d, ""), ""), "epoch": i.epoch(d, now),
-                 "verdict": i.hints.verdict(now, d)}
-                for d in i.duties
+                {"duty": duty, "placed_at": instance.placements.get(instance.shards.get(duty, ""), ""),
+                 "epoch": instance.held_epoch(duty, now),
+                 "verdict": instance.probe_results.verdict(now, duty)}
+                for duty in instance.duties
             ],
         }  # fmt: skip
 
     def close(self) -> None:
         self._closing = True
         self._send(self.instance.leave(self.loop.now))
-        if self.keeper is not None:
-            self.keeper.close()
-        if self.control is not None:
-            self.control.close()
+        if self.promise_file is not None:
+            self.promise_file.close()
+        if self.control_socket is not None:
+            self.control_socket.close()
         self.transport.close()
 
 
-class Control:
+class ControlSocket:
     """A Unix socket that says the state of the instance to whoever may open it, and closes."""
 
     def __init__(self, loop: Loop, path: str, report: Callable[[], dict[str, object]]) -> None:
@@ -182,15 +195,15 @@
             os.unlink(path)
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.sock.setblocking(False)
-        before = os.umask(0o177)  # its owner only
+        old_umask = os.umask(0o177)  # its owner only
         try:
             self.sock.bind(path)
         finally:
-            os.umask(before)
+            os.umask(old_umask)
         self.sock.listen(4)
-        loop.watch(self.sock, READ, self._asked)
+        loop.watch(self.sock, READ, self._on_connect)
 
-    def _asked(self, _mask: int) -> None:
+    def _on_connect(self, _mask: int) -> None:
         try:
             peer, _ = self.sock.accept()
         except OSError:
@@ -200,8 +213,8 @@
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 << 20)
             try:
                 peer.send(orjson.dumps(self.report()) + b"\n")
-            except OSError as why:
-                logger.debug("control socket: {}", why)
+            except OSError as error:
+                logger.debug("control socket: {}", error)
 
     def close(self) -> None:
         self.loop.unwatch(self.sock)
--- a/arrowrail/lab/modelcheck.py
+++ b/arrowrail/lab/modelcheck.py
@@ -17,274 +17,333 @@
 from dataclasses import dataclass, replace
 from itertools import product
 
-from arrowrail.leases import claim as c
+from arrowrail.leases import claim as claim_ops
 from arrowrail.leases.claim import Claim
-from arrowrail.leases.promise import NONE, Ask, Promise, Release, Reply, consider, let_go, restored
-from arrowrail.leases.terms import Terms
+from arrowrail.leases.config import LeaseConfig
+from arrowrail.leases.promise import (
+    NO_PROMISE,
+    AcquireRequest,
+    Promise,
+    Release,
+    Reply,
+    answer_request,
+    apply_release,
+    restore_promise,
+)
 
 NOMINAL, SLOW, FAST = 4, 3, 5  # what a clock moves in a tick
 DRIFT_PPM = 250_000  # so that SLOW and FAST are at the bound
-LENGTH = 8  # of a promise: two ticks of a nominal clock
-NAMES = ("a", "b", "c")
+PROMISE_DURATION = 8  # of a promise: two ticks of a nominal clock
+INSTANCES = ("a", "b", "c")
 CANDIDATES = 2  # a and b ask; c grants only
-BASE = 1000  # what every clock reads in every state
+BASE_TIME = 1000  # what every clock reads in every state
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class DisabledSafeguards:
     """Safeguards that are left out."""
 
     no_margin: bool = False  # a holder counts on the whole length of a promise
-    no_majority: bool = False  # one vote is enough
+    no_quorum: bool = False  # one vote is enough
     no_memory: bool = False  # a promise is forgotten in a crash, and nothing is sat out
 
 
-WHOLE = Broken()
+ALL_SAFEGUARDS = DisabledSafeguards()
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
     duties: int = 1
     depth: int = 10
-    in_flight: int = 2  # asks are made while fewer messages are on their way
+    max_in_flight: int = 2  # asks are made while fewer messages are on their way
     epochs: int = 2
-    doubles: int = 0
+    duplicates: int = 0
     crashes: int = 1
     states: int = 500_000
 
 
 @dataclass(frozen=True, slots=True)
-class Flight:
+class InFlight:
     sender: int
-    to: int
-    message: Ask | Reply | Release
+    receiver: int
+    message: AcquireRequest | Reply | Release
 
 
 @dataclass(frozen=True, slots=True)
-class World:
+class State:
     promises: tuple[tuple[Promise, ...], ...]  # by instance, by duty
     claims: tuple[tuple[Claim, ...], ...]
-    flights: frozenset[Flight] = frozenset()
-    used: frozenset[tuple[int, int, int]] = frozenset()  # duty, epoch, holder: held at some time
-    doubles: int = 0
+    in_flight: frozenset[InFlight] = frozenset()
+    held_epochs: frozenset[tuple[int, int, int]] = frozenset()  # duty, epoch, holder: held at some time
+    duplicates: int = 0
     crashes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class CheckResult:
     states: int
-    broken: str = ""
+    violation: str = ""
     trace: tuple[str, ...] = ()
     complete: bool = True
 
 
-def _in_order(flight: Flight) -> tuple[int, int, str, str, int, int]:
-    m = flight.message
-    return flight.sender, flight.to, type(m).__name__, m.duty, m.epoch, getattr(m, "round", 0)
+def _packet_sort_key(packet: InFlight) -> tuple[int, int, str, str, int, int]:
+    message = packet.message
+    return (
+        packet.sender,
+        packet.receiver,
+        type(message).__name__,
+        message.duty,
+        message.epoch,
+        getattr(message, "round", 0),
+    )
 
 
-class BrokenTerms(Terms):
+class WeakenedConfig(LeaseConfig):
     """Terms with a safeguard left out."""
 
     __slots__ = ()
-    broken = Broken()
+    disabled = DisabledSafeguards()
 
     @property
-    def holder_ns(self) -> int:
-        return self.length_ns if self.broken.no_margin else Terms.holder_ns.fget(self)  # type: ignore[attr-defined]
+    def holder_duration_ns(self) -> int:
+        return self.duration_ns if self.disabled.no_margin else LeaseConfig.holder_duration_ns.fget(self)  # type: ignore[attr-defined]
 
-    def enough(self, granted: object) -> bool:
-        if self.broken.no_majority:
+    def is_quorum(self, granted: object) -> bool:
+        if self.disabled.no_quorum:
             return bool(granted)
-        return Terms.enough(self, granted)  # type: ignore[arg-type]
+        return LeaseConfig.is_quorum(self, granted)  # type: ignore[arg-type]
 
 
 class Checker:
-    def __init__(self, rates: tuple[int, ...], bounds: Bounds, broken: Broken = WHOLE) -> None:
-        self.rates, self.bounds, self.broken = rates, bounds, broken
-        kind = type("T", (BrokenTerms,), {"broken": broken, "__slots__": ()})
-        self.terms: Terms = kind(LENGTH, DRIFT_PPM, frozenset(NAMES))
+    def __init__(
+        self, rates: tuple[int, ...], bounds: Bounds, disabled: DisabledSafeguards = ALL_SAFEGUARDS
+    ) -> None:
+        self.rates, self.bounds, self.disabled = rates, bounds, disabled
+        config_type = type("T", (WeakenedConfig,), {"disabled": disabled, "__slots__": ()})
+        self.config: LeaseConfig = config_type(PROMISE_DURATION, DRIFT_PPM, frozenset(INSTANCES))
         self.duties = tuple(f"d{n}" for n in range(bounds.duties))
 
-    def start(self) -> World:
-        n = len(NAMES)
-        return World(
-            ((NONE,) * len(self.duties),) * n,
-            tuple(tuple(Claim(d, name) for d in self.duties) for name in NAMES),
+    def start(self) -> State:
+        count = len(INSTANCES)
+        return State(
+            ((NO_PROMISE,) * len(self.duties),) * count,
+            tuple(tuple(Claim(duty, name) for duty in self.duties) for name in INSTANCES),
         )
 
     # --- The search -------------------------------------------------------------------------------------
 
-    def run(self) -> Found:
-        first = self.start()
-        before: dict[World, tuple[World, str] | None] = {first: None}
-        waiting = deque([(first, 0)])
+    def run(self) -> CheckResult:
+        start_state = self.start()
+        predecessors: dict[State, tuple[State, str] | None] = {start_state: None}
+        queue = deque([(start_state, 0)])
         complete = True
-        while waiting:
-            world, depth = waiting.popleft()
+        while queue:
+            state, depth = queue.popleft()
             if depth >= self.bounds.depth:
                 continue
-            for what, after in self.steps(world):
-                after = self._note(after)
-                if after in before:
+            for step, next_state in self.steps(state):
+                next_state = self._record_holders(next_state)
+                if next_state in predecessors:
                     continue
-                before[after] = (world, what)
-                wrong = self._wrong(after)
-                if wrong:
-                    return Found(len(before), wrong, self._trace(before, after))
-                if len(before) >= self.bounds.states:
-                    return Found(len(before), complete=False)
-                waiting.append((after, depth + 1))
-        return Found(len(before), complete=complete)
+                predecessors[next_state] = (state, step)
+                violation = self._find_violation(next_state)
+                if violation:
+                    return CheckResult(len(predecessors), violation, self._trace(predecessors, next_state))
+                if len(predecessors) >= self.bounds.states:
+                    return CheckResult(len(predecessors), complete=False)
+                queue.append((next_state, depth + 1))
+        return CheckResult(len(predecessors), complete=complete)
 
     @staticmethod
-    def _trace(before: dict[World, tuple[World, str] | None], world: World) -> tuple[str, ...]:
+    def _trace(predecessors: dict[State, tuple[State, str] | None], state: State) -> tuple[str, ...]:
         steps: list[str] = []
-        at = before[world]
-        while at is not None:
-            steps.append(at[1])
-            at = before[at[0]]
+        previous = predecessors[state]
+        while previous is not None:
+            steps.append(previous[1])
+            previous = predecessors[previous[0]]
         return tuple(reversed(steps))
 
     # --- Safety -----------------------------------------------------------------------------------------
 
-    def _holders(self, world: World) -> Iterator[tuple[int, int, int]]:
-        for i, claims in enumerate(world.claims):
-            for d, claim in enumerate(claims):
-                if c.holds(claim, BASE):
-                    yield d, claim.epoch, i
-
-    def _note(self, world: World) -> World:
-        held = frozenset(self._holders(world))
-        return world if held <= world.used else replace(world, used=world.used | held)
-
-    def _wrong(self, world: World) -> str:
-        at: dict[int, int] = {}
-        for d, _, i in self._holders(world):
-            if d in at:
-                return f"{NAMES[at[d]]} and {NAMES[i]} hold {self.duties[d]}"
-            at[d] = i
+    def _current_holders(self, state: State) -> Iterator[tuple[int, int, int]]:
+        for instance, claims in enumerate(state.claims):
+            for duty_index, claim in enumerate(claims):
+                if claim_ops.is_held(claim, BASE_TIME):
+                    yield duty_index, claim.epoch, instance
+
+    def _record_holders(self, state: State) -> State:
+        held = frozenset(self._current_holders(state))
+        return state if held <= state.held_epochs else replace(state, held_epochs=state.held_epochs | held)
+
+    def _find_violation(self, state: State) -> str:
+        holder_of: dict[int, int] = {}
+        for duty, _, instance in self._current_holders(state):
+            if duty in holder_of:
+                return f"{INSTANCES[holder_of[duty]]} and {INSTANCES[instance]} hold {self.duties[duty]}"
+            holder_of[duty] = instance
         epochs: dict[tuple[int, int], int] = {}
-        for d, epoch, i in world.used:
-            if epochs.setdefault((d, epoch), i) != i:
-                return f"epoch {epoch} of {self.duties[d]} was held by two"
+        for duty, epoch, instance in state.held_epochs:
+            if epochs.setdefault((duty, epoch), instance) != instance:
+                return f"epoch {epoch} of {self.duties[duty]} was held by two"
         return ""
 
     # --- Steps ------------------------------------------------------------------------------------------
 
-    def steps(self, w: World) -> Iterator[tuple[str, World]]:
-        yield "time goes on", self._tick(w)
-        for i, d in product(range(CANDIDATES), range(len(self.duties))):
-            claim, duty = w.claims[i][d], self.duties[d]
-            if len(w.flights) < self.bounds.in_flight:
-                if claim.phase == c.IDLE and max(claim.seen, claim.epoch) < self.bounds.epochs:
-                    asked = c.begin(claim, BASE, self.terms)
-                    yield f"{NAMES[i]} asks for {duty}", self._asks(w, i, d, *asked)
-                elif claim.phase == c.HOLDING and not claim.asked_at:
-                    asked = c.renew(claim, BASE, self.terms)
-                    yield f"{NAMES[i]} renews {duty}", self._asks(w, i, d, *asked)
-            if claim.phase == c.HOLDING:
-                stopped, release = c.give_back(claim, BASE)
+    def steps(self, state: State) -> Iterator[tuple[str, State]]:
+        yield "time goes on", self._advance_clocks(state)
+        for instance, duty_index in product(range(CANDIDATES), range(len(self.duties))):
+            claim, duty = state.claims[instance][duty_index], self.duties[duty_index]
+            if len(state.in_flight) < self.bounds.max_in_flight:
+                if (
+                    claim.phase == claim_ops.IDLE
+                    and max(claim.highest_epoch, claim.epoch) < self.bounds.epochs
+                ):
+                    started = claim_ops.start_acquire(claim, BASE_TIME, self.config)
+                    yield (
+                        f"{INSTANCES[instance]} asks for {duty}",
+                        self._send_request(state, instance, duty_index, *started),
+                    )
+                elif claim.phase == claim_ops.HOLDING and not claim.requested_at:
+                    started = claim_ops.start_renewal(claim, BASE_TIME, self.config)
+                    yield (
+                        f"{INSTANCES[instance]} renews {duty}",
+                        self._send_request(state, instance, duty_index, *started),
+                    )
+            if claim.phase == claim_ops.HOLDING:
+                idle_claim, release = claim_ops.release_claim(claim, BASE_TIME)
                 assert release is not None
-                yield f"{NAMES[i]} gives {duty} back", self._send(self._claim(w, i, d, stopped), i, release)
-        for flight in sorted(w.flights, key=_in_order):  # a set's own order changes from run to run
-            kind = type(flight.message).__name__.lower()
-            named = f"{kind} {NAMES[flight.sender]} to {NAMES[flight.to]}"
-            without = replace(w, flights=w.flights - {flight})
-            yield f"{named} arrives", self._arrives(without, flight)
-            yield f"{named} is lost", without
-            if w.doubles < self.bounds.doubles:
-                again = self._arrives(replace(w, doubles=w.doubles + 1), flight)
-                yield f"{named} arrives, and will again", again
-        if w.crashes < self.bounds.crashes:
-            for i in range(len(NAMES)):
-                yield f"{NAMES[i]} crashes and starts", self._crash(w, i)
-
-    def _tick(self, w: World) -> World:
+                yield (
+                    f"{INSTANCES[instance]} gives {duty} back",
+                    self._send_release(
+                        self._with_claim(state, instance, duty_index, idle_claim), instance, release
+                    ),
+                )
+        for packet in sorted(
+            state.in_flight, key=_packet_sort_key
+        ):  # a set's own order changes from run to run
+            message_type = type(packet.message).__name__.lower()
+            label = f"{message_type} {INSTANCES[packet.sender]} to {INSTANCES[packet.receiver]}"
+            remaining = replace(state, in_flight=state.in_flight - {packet})
+            yield f"{label} arrives", self._deliver(remaining, packet)
+            yield f"{label} is lost", remaining
+            if state.duplicates < self.bounds.duplicates:
+                redelivered = self._deliver(replace(state, duplicates=state.duplicates + 1), packet)
+                yield f"{label} arrives, and will again", redelivered
+        if state.crashes < self.bounds.crashes:
+            for instance in range(len(INSTANCES)):
+                yield f"{INSTANCES[instance]} crashes and starts", self._restart(state, instance)
+
+    def _advance_clocks(self, state: State) -> State:
         """Each clock moves by its rate, and everything is shifted back by it."""
         promises = tuple(
-            tuple(replace(p, until=max(0, p.until - rate) if p.until - rate > BASE else 0) for p in of)
-            for of, rate in zip(w.promises, self.rates, strict=True)
+            tuple(
+                replace(p, expires_at=max(0, p.expires_at - rate) if p.expires_at - rate > BASE_TIME else 0)
+                for p in row
+            )
+            for row, rate in zip(state.promises, self.rates, strict=True)
         )
         claims = tuple(
-            tuple(self._aged(claim, rate) for claim in of)
-            for of, rate in zip(w.claims, self.rates, strict=True)
+            tuple(self._shift_claim(claim, rate) for claim in row)
+            for row, rate in zip(state.claims, self.rates, strict=True)
         )
-        return replace(w, promises=promises, claims=claims)
-
-    def _aged(self, claim: Claim, rate: int) -> Claim:
-        claim = c.passed(claim, BASE + rate, self.terms, 0)
-        asked = claim.asked_at - rate if claim.asked_at else 0
-        until = claim.until - rate if claim.phase == c.HOLDING else 0
-        return replace(claim, asked_at=asked, until=until, not_before=0)
-
-    def _claim(self, w: World, i: int, d: int, claim: Claim) -> World:
-        of = (*w.claims[i][:d], claim, *w.claims[i][d + 1 :])
-        return replace(w, claims=(*w.claims[:i], of, *w.claims[i + 1 :]))
-
-    def _asks(self, w: World, i: int, d: int, claim: Claim, ask: Ask) -> World:
-        w = self._claim(w, i, d, claim)
-        w = self._grant(w, i, i, ask)
-        others = [n for n in range(len(NAMES)) if n != i]
-        return replace(w, flights=w.flights | {Flight(i, n, ask) for n in others})
-
-    def _send(self, w: World, i: int, release: Release) -> World:
-        d = self.duties.index(release.duty)
-        promise = let_go(w.promises[i][d], BASE, release)
-        w = self._promise(w, i, d, promise)
-        room = self.bounds.in_flight + 2 - len(w.flights)
-        others = [n for n in range(len(NAMES)) if n != i][: max(0, room)]
-        return replace(w, flights=w.flights | {Flight(i, n, release) for n in others})
-
-    def _promise(self, w: World, i: int, d: int, promise: Promise) -> World:
-        of = (*w.promises[i][:d], promise, *w.promises[i][d + 1 :])
-        return replace(w, promises=(*w.promises[:i], of, *w.promises[i + 1 :]))
-
-    def _grant(self, w: World, grantor: int, asker: int, ask: Ask) -> World:
-        d = self.duties.index(ask.duty)
-        now = BASE
-        promise, reply = consider(w.promises[grantor][d], now, ask, self.terms)
-        reply = replace(reply, free_in_ns=0)
-        w = self._promise(w, grantor, d, promise)
-        if grantor == asker:
-            claim = c.heard(w.claims[asker][d], NAMES[grantor], reply, now, self.terms)
-            return self._claim(w, asker, d, replace(claim, not_before=0))
-        return replace(w, flights=w.flights | {Flight(grantor, asker, reply)})
-
-    def _arrives(self, w: World, flight: Flight) -> World:
-        message, to = flight.message, flight.to
-        d = self.duties.index(message.duty)
-        if isinstance(message, Ask):
-            return self._grant(w, to, flight.sender, message)
+        return replace(state, promises=promises, claims=claims)
+
+    def _shift_claim(self, claim: Claim, rate: int) -> Claim:
+        claim = claim_ops.advance_time(claim, BASE_TIME + rate, self.config, 0)
+        requested_at = claim.requested_at - rate if claim.requested_at else 0
+        expires_at = claim.expires_at - rate if claim.phase == claim_ops.HOLDING else 0
+        return replace(claim, requested_at=requested_at, expires_at=expires_at, not_before=0)
+
+    def _with_claim(self, state: State, instance: int, duty_index: int, claim: Claim) -> State:
+        row = (*state.claims[instance][:duty_index], claim, *state.claims[instance][duty_index + 1 :])
+        return replace(state, claims=(*state.claims[:instance], row, *state.claims[instance + 1 :]))
+
+    def _send_request(
+        self, state: State, instance: int, duty_index: int, claim: Claim, request: AcquireRequest
+    ) -> State:
+        state = self._with_claim(state, instance, duty_index, claim)
+        state = self._answer_request(state, instance, instance, request)
+        others = [other for other in range(len(INSTANCES)) if other != instance]
+        return replace(
+            state, in_flight=state.in_flight | {InFlight(instance, other, request) for other in others}
+        )
+
+    def _send_release(self, state: State, instance: int, release: Release) -> State:
+        duty_index = self.duties.index(release.duty)
+        promise = apply_release(state.promises[instance][duty_index], BASE_TIME, release)
+        state = self._with_promise(state, instance, duty_index, promise)
+        free_slots = self.bounds.max_in_flight + 2 - len(state.in_flight)
+        others = [other for other in range(len(INSTANCES)) if other != instance][: max(0, free_slots)]
+        return replace(
+            state, in_flight=state.in_flight | {InFlight(instance, other, release) for other in others}
+        )
+
+    def _with_promise(self, state: State, instance: int, duty_index: int, promise: Promise) -> State:
+        row = (*state.promises[instance][:duty_index], promise, *state.promises[instance][duty_index + 1 :])
+        return replace(state, promises=(*state.promises[:instance], row, *state.promises[instance + 1 :]))
+
+    def _answer_request(self, state: State, grantor: int, requester: int, request: AcquireRequest) -> State:
+        duty_index = self.duties.index(request.duty)
+        now = BASE_TIME
+        promise, reply = answer_request(state.promises[grantor][duty_index], now, request, self.config)
+        reply = replace(reply, retry_after_ns=0)
+        state = self._with_promise(state, grantor, duty_index, promise)
+        if grantor == requester:
+            claim = claim_ops.apply_reply(
+                state.claims[requester][duty_index], INSTANCES[grantor], reply, now, self.config
+            )
+            return self._with_claim(state, requester, duty_index, replace(claim, not_before=0))
+        return replace(state, in_flight=state.in_flight | {InFlight(grantor, requester, reply)})
+
+    def _deliver(self, state: State, packet: InFlight) -> State:
+        message, receiver = packet.message, packet.receiver
+        duty_index = self.duties.index(message.duty)
+        if isinstance(message, AcquireRequest):
+            return self._answer_request(state, receiver, packet.sender, message)
         if isinstance(message, Release):
-            return self._promise(w, to, d, let_go(w.promises[to][d], BASE, message))
-        claim = c.heard(w.claims[to][d], NAMES[flight.sender], message, BASE, self.terms)
-        return self._claim(w, to, d, replace(claim, not_before=0))
+            return self._with_promise(
+                state,
+                receiver,
+                duty_index,
+                apply_release(state.promises[receiver][duty_index], BASE_TIME, message),
+            )
+        claim = claim_ops.apply_reply(
+            state.claims[receiver][duty_index], INSTANCES[packet.sender], message, BASE_TIME, self.config
+        )
+        return self._with_claim(state, receiver, duty_index, replace(claim, not_before=0))
 
-    def _crash(self, w: World, i: int) -> World:
+    def _restart(self, state: State, instance: int) -> State:
         """What it held is lost; what it promised is read back, or sat out, or (broken) forgotten."""
-        kept: tuple[Promise, ...]
-        if self.broken.no_memory:
-            kept = (NONE,) * len(self.duties)
+        restored: tuple[Promise, ...]
+        if self.disabled.no_memory:
+            restored = (NO_PROMISE,) * len(self.duties)
         else:
-            kept = tuple(restored(p, BASE) for p in w.promises[i])
-        claims = tuple(Claim(d, NAMES[i], round=w.claims[i][n].round) for n, d in enumerate(self.duties))
+            restored = tuple(restore_promise(p, BASE_TIME) for p in state.promises[instance])
+        claims = tuple(
+            Claim(duty, INSTANCES[instance], round=state.claims[instance][index].round)
+            for index, duty in enumerate(self.duties)
+        )
         return replace(
-            w, promises=(*w.promises[:i], kept, *w.promises[i + 1 :]),
-            claims=(*w.claims[:i], claims, *w.claims[i + 1 :]), crashes=w.crashes + 1,
-        )  # fmt: skip
+            state,
+            promises=(*state.promises[:instance], restored, *state.promises[instance + 1 :]),
+            claims=(*state.claims[:instance], claims, *state.claims[instance + 1 :]),
+            crashes=state.crashes + 1,
+        )
 
 
 RATES = ((NOMINAL, NOMINAL, NOMINAL), (SLOW, FAST, FAST), (FAST, SLOW, NOMINAL))
 
 
-def check(bounds: Bounds, broken: Broken = WHOLE, rates: tuple[tuple[int, ...], ...] = RATES) -> Found:
+def check(
+    bounds: Bounds, disabled: DisabledSafeguards = ALL_SAFEGUARDS, rates: tuple[tuple[int, ...], ...] = RATES
+) -> CheckResult:
     """Over several combinations of clock rates; the first breach, or all states that were visited."""
     total, complete = 0, True
-    for one in rates:
-        found = Checker(one, bounds, broken).run()
-        total += found.states
-        complete = complete and found.complete
-        if found.broken:
-            return replace(found, states=total)
-    return Found(total, complete=complete)
+    for clock_rates in rates:
+        result = Checker(clock_rates, bounds, disabled).run()
+        total += result.states
+        complete = complete and result.complete
+        if result.violation:
+            return replace(result, states=total)
+    return CheckResult(total, complete=complete)
--- a/arrowrail/lab/simgroup.py
+++ b/arrowrail/lab/simgroup.py
@@ -9,44 +9,44 @@
 import statistics
 from typing import Any
 
-from arrowrail.duties.assign import assign, moved, of, shard_of
-from arrowrail.group.instance import Instance, Message, Out
-from arrowrail.group.plan import GroupPlan
-from arrowrail.lab.simnet import MS, Clock, Net, S
+from arrowrail.duties.assign import assign, count_moved, duties_of, shard_of
+from arrowrail.group.config import GroupConfig
+from arrowrail.group.instance import Effects, Instance, Message
+from arrowrail.lab.simnet import MS, S, SimClock, SimNetwork
 from arrowrail.leases.promise import Promise
 from arrowrail.membership.swim import DEAD, SUSPECT
 from arrowrail.wire.group.messages import encode
 
 KEYS = {1: b"k" * 16}
 VOTERS = 5
-TICK = 200 * MS
+TICK_NS = 200 * MS
 
 
 class SimGroup:
     def __init__(self, size: int, duties: int, seed: int, period_ns: int) -> None:
-        self.net, self.seed, self.period = Net(seed), seed, period_ns
+        self.network, self.seed, self.period_ns = SimNetwork(seed), seed, period_ns
         self.names = [f"i{n}" for n in range(size)]
         self.duties = [f"probe:{n}" for n in range(duties)]
         self.shards = {shard_of(duty) for duty in self.duties}
-        self.disk: dict[str, dict[str, Promise]] = {}
+        self.stored_promises: dict[str, dict[str, Promise]] = {}
         self.instances: dict[str, Instance] = {}
-        self.heard_dead: dict[str, int] = {}  # by who heard it: when
+        self.death_heard_at: dict[str, int] = {}  # by who heard it: when
         self.suspicions = 0
         for name in self.names:
             self.start(name)
 
     def start(self, name: str) -> None:
         self.seed += 1
-        draw = self.net.random
-        self.net.clocks.setdefault(name, Clock(draw.randrange(10**15), draw.randint(-1000, 1000)))
+        rng = self.network.random
+        self.network.clocks.setdefault(name, SimClock(rng.randrange(10**15), rng.randint(-1000, 1000)))
         voters = {n: n for n in self.names[:VOTERS]}
-        plan = GroupPlan("g", name, name, name, voters, {}, (), KEYS, 1, 3 * S, 10_000, "", "",
-                         self.period, S)  # fmt: skip
-        kept = dict(self.disk.setdefault(name, {}))
-        instance = self.instances[name] = Instance(plan, self.net.clock(name), self.seed, kept)
+        config = GroupConfig("g", name, name, name, voters, {}, (), KEYS, 1, 3 * S, 10_000, "", "",
+                         self.period_ns, S)  # fmt: skip
+        stored = dict(self.stored_promises.setdefault(name, {}))
+        instance = self.instances[name] = Instance(config, self.network.clock(name), self.seed, stored)
         instance.set_duties(self.duties)
-        self.net.join(name, lambda sender, message: self.receive(name, sender, message))
-        self.net.at(self.net.now + draw.randrange(TICK), lambda: self.tick(name, instance))
+        self.network.attach(name, lambda sender, message: self.receive(name, sender, message))
+        self.network.schedule(self.network.now + rng.randrange(TICK_NS), lambda: self.tick(name, instance))
 
     def tick(self, name: str, instance: Instance) -> None:
         if self.instances.get(name) is not instance:
@@ -54,69 +54,75 @@
         for change in instance.swim.changes:
             self.suspicions += change.state == SUSPECT
             if change.state == DEAD:
-                self.heard_dead.setdefault(name, self.net.now)
-        self.carry(name, instance.tick(self.net.clock(name)))
-        self.net.at(self.net.now + TICK, lambda: self.tick(name, instance))
+                self.death_heard_at.setdefault(name, self.network.now)
+        self.apply_effects(name, instance.tick(self.network.clock(name)))
+        self.network.schedule(self.network.now + TICK_NS, lambda: self.tick(name, instance))
 
     def receive(self, name: str, sender: str, message: Message) -> None:
-        self.carry(name, self.instances[name].receive(self.net.clock(name), sender, message))
+        self.apply_effects(name, self.instances[name].receive(self.network.clock(name), sender, message))
 
-    def carry(self, name: str, out: Out) -> None:
-        self.disk[name] |= out.promises
-        for address, to, message in out.messages:
+    def apply_effects(self, name: str, effects: Effects) -> None:
+        self.stored_promises[name] |= effects.promises
+        for address, receiver, message in effects.messages:
             # Every 16th is encoded for its size: enough for a mean, and quick.
-            count = self.net.sent.get(name, 0)
-            size = 16 * len(encode(KEYS, 1, ("g", name, to, 1, 1), message)) if count % 16 == 0 else 0
-            self.net.send(name, address, message, size)
+            count = self.network.messages_sent.get(name, 0)
+            size = 16 * len(encode(KEYS, 1, ("g", name, receiver, 1, 1), message)) if count % 16 == 0 else 0
+            self.network.send(name, address, message, size)
 
     def run(self, seconds: float) -> None:
-        self.net.run(self.net.now + int(seconds * S))
+        self.network.run(self.network.now + int(seconds * S))
 
     def crash(self, name: str) -> None:
         del self.instances[name]
-        self.net.leave(name)
+        self.network.detach(name)
 
-    def held(self) -> int:
-        return sum(1 for n, i in self.instances.items() for _ in i.office.held(self.net.clock(n)))
+    def held_leases(self) -> int:
+        return sum(
+            1
+            for n, instance in self.instances.items()
+            for _ in instance.lease_manager.held_claims(self.network.clock(n))
+        )
 
 
 def traffic(size: int, duties: int, seconds: float, seed: int = 1) -> dict[str, Any]:
     """A calm group, then a death: rates an instance, and how soon it is known and made good."""
     group = SimGroup(size, duties, seed, 10 * S)
     group.run(20 + size / 10)
-    group.net.sent.clear()
-    group.net.bytes.clear()
+    group.network.messages_sent.clear()
+    group.network.bytes_sent.clear()
     group.suspicions = 0
-    began = group.net.now
+    started_at = group.network.now
     group.run(seconds)
-    passed = (group.net.now - began) / S
-    messages = [n / passed for n in group.net.sent.values()]
-    size_bytes = [n / passed for n in group.net.bytes.values()]
-    voters = [group.net.sent.get(n, 0) / passed for n in group.names[:VOTERS]]
-    false_alarms, held = group.suspicions, group.held()
-    group.heard_dead.clear()
-    dead, died = group.names[-1], group.net.now
-    group.crash(dead)
-    while group.net.now - died < 60 * S and (not group.heard_dead or group.held() < len(group.shards)):
+    elapsed_s = (group.network.now - started_at) / S
+    messages = [n / elapsed_s for n in group.network.messages_sent.values()]
+    size_bytes = [n / elapsed_s for n in group.network.bytes_sent.values()]
+    voters = [group.network.messages_sent.get(n, 0) / elapsed_s for n in group.names[:VOTERS]]
+    false_suspicions, held_leases = group.suspicions, group.held_leases()
+    group.death_heard_at.clear()
+    victim, died_at = group.names[-1], group.network.now
+    group.crash(victim)
+    while group.network.now - died_at < 60 * S and (
+        not group.death_heard_at or group.held_leases() < len(group.shards)
+    ):
         group.run(0.5)
-    found = sorted((t - died) / S for t in group.heard_dead.values())
+    detection_s = sorted((t - died_at) / S for t in group.death_heard_at.values())
     return {
-        "instances": size, "duties": duties, "leases held": held,
+        "instances": size, "duties": duties, "leases held": held_leases,
         "messages an instance a s, mean": round(statistics.mean(messages), 1),
         "bytes an instance a s, mean": round(statistics.mean(size_bytes)),
         "messages of a voter a s, mean": round(statistics.mean(voters), 1),
-        "false suspicions": false_alarms,
-        "death known to all but it after s, p50": found[len(found) // 2] if found else None,
-        "max": found[-1] if found else None,
-        "all duties held again after s": round((group.net.now - died) / S, 1),
+        "false suspicions": false_suspicions,
+        "death known to all but it after s, p50": detection_s[len(detection_s) // 2] if detection_s else None,
+        "max": detection_s[-1] if detection_s else None,
+        "all duties held again after s": round((group.network.now - died_at) / S, 1),
     }  # fmt: skip
 
 
 def movement(size: int, duties: int = 10_000) -> dict[str, Any]:
     """Duties that one death moves, against those that were its own."""
     names = [f"i{n}" for n in range(size)]
-    placed = [f"probe:{n}" for n in range(duties)]
-    before = assign(placed, names)
-    after = assign(placed, names[1:])
-    return {"instances": size, "duties": duties, "its own": len(of(names[0], before)),
-            "moved": moved(before, after), "even part": duties // size}  # fmt: skip
+    duty_names = [f"probe:{n}" for n in range(duties)]
+    before = assign(duty_names, names)
+    after = assign(duty_names, names[1:])
+    return {"instances": size, "duties": duties, "its own": len(duties_of(names[0], before)),
+            "moved": count_moved(before, after), "even part": duties // size}  # fmt: skip
--- a/arrowrail/lab/simnet.py
+++ b/arrowrail/lab/simnet.py
@@ -17,95 +17,97 @@
 
 
 @dataclass(slots=True)
-class Clock:
+class SimClock:
     """An instance's own clock: it began anywhere and runs too fast or too slow."""
 
     offset: int = 0
-    ppm: int = 0
+    drift_ppm: int = 0
     stopped_at: int | None = (
         None  # true time since which the instance does nothing (SIGSTOP); the clock goes on
     )
 
-    def read(self, true: int) -> int:
-        return self.offset + true * (MILLION + self.ppm) // MILLION
+    def read(self, true_time: int) -> int:
+        return self.offset + true_time * (MILLION + self.drift_ppm) // MILLION
 
-    def true_until(self, true: int, local: int) -> int:
+    def true_until(self, true_time: int, local_time: int) -> int:
         """True time at which this clock will read ``local``, and not sooner."""
-        left = max(0, local - self.read(true))
-        return true + left * MILLION // (MILLION + self.ppm) + 1
+        left = max(0, local_time - self.read(true_time))
+        return true_time + left * MILLION // (MILLION + self.drift_ppm) + 1
 
 
 @dataclass(slots=True)
-class Faults:
-    loss: float = 0.0
-    double: float = 0.0
-    delay: tuple[int, int] = (MS, 20 * MS)
-    late: float = 0.0  # share that takes ``late_by`` more
-    late_by: int = 2 * S
-    cut: set[tuple[str, str]] = field(default_factory=set)  # from, to: nothing passes
-
-    def split(self, one: set[str], other: set[str], both_ways: bool = True) -> None:
-        self.cut |= {(a, b) for a in one for b in other}
+class NetworkFaults:
+    loss_rate: float = 0.0
+    duplicate_rate: float = 0.0
+    delay_range_ns: tuple[int, int] = (MS, 20 * MS)
+    spike_rate: float = 0.0  # share that takes ``late_by`` more
+    spike_ns: int = 2 * S
+    blocked: set[tuple[str, str]] = field(default_factory=set)  # from, to: nothing passes
+
+    def partition(self, side_a: set[str], side_b: set[str], both_ways: bool = True) -> None:
+        self.blocked |= {(a, b) for a in side_a for b in side_b}
         if both_ways:
-            self.cut |= {(b, a) for a in one for b in other}
+            self.blocked |= {(b, a) for a in side_a for b in side_b}
 
     def heal(self) -> None:
-        self.cut.clear()
+        self.blocked.clear()
 
 
-class Net:
+class SimNetwork:
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.now = 0
-        self.faults = Faults()
-        self.clocks: dict[str, Clock] = {}
+        self.faults = NetworkFaults()
+        self.clocks: dict[str, SimClock] = {}
         self.receivers: dict[str, Callable[[str, Any], None]] = {}
-        self.sent: dict[str, int] = {}
-        self.bytes: dict[str, int] = {}
+        self.messages_sent: dict[str, int] = {}
+        self.bytes_sent: dict[str, int] = {}
         self._events: list[tuple[int, int, Callable[[], None]]] = []
-        self._order = 0
+        self._sequence = 0
 
-    def join(self, name: str, receive: Callable[[str, Any], None], clock: Clock | None = None) -> None:
+    def attach(self, name: str, receive: Callable[[str, Any], None], clock: SimClock | None = None) -> None:
         self.receivers[name] = receive
-        self.clocks.setdefault(name, clock or Clock())
+        self.clocks.setdefault(name, clock or SimClock())
 
-    def leave(self, name: str) -> None:
+    def detach(self, name: str) -> None:
         self.receivers.pop(name, None)
 
     def clock(self, name: str) -> int:
         return self.clocks[name].read(self.now)
 
-    def at(self, when: int, act: Callable[[], None]) -> None:
-        self._order += 1
-        heapq.heappush(self._events, (max(when, self.now), self._order, act))
+    def schedule(self, at: int, action: Callable[[], None]) -> None:
+        self._sequence += 1
+        heapq.heappush(self._events, (max(at, self.now), self._sequence, action))
 
-    def send(self, sender: str, to: str, message: Any, size: int = 0) -> None:
-        self.sent[sender] = self.sent.get(sender, 0) + 1
-        self.bytes[sender] = self.bytes.get(sender, 0) + size
-        f, draw = self.faults, self.random
-        copies = 2 if draw.random() < f.double else 1
+    def send(self, sender: str, receiver: str, message: Any, size: int = 0) -> None:
+        self.messages_sent[sender] = self.messages_sent.get(sender, 0) + 1
+        self.bytes_sent[sender] = self.bytes_sent.get(sender, 0) + size
+        faults, rng = self.faults, self.random
+        copies = 2 if rng.random() < faults.duplicate_rate else 1
         for _ in range(copies):
-            if draw.random() < f.loss:
+            if rng.random() < faults.loss_rate:
                 continue
-            delay = draw.randint(*f.delay) + (f.late_by if draw.random() < f.late else 0)
-            self.at(self.now + delay, lambda: self._arrive(sender, to, message))
+            delay_ns = rng.randint(*faults.delay_range_ns) + (
+                faults.spike_ns if rng.random() < faults.spike_rate else 0
+            )
+            self.schedule(self.now + delay_ns, lambda: self._arrive(sender, receiver, message))
 
-    def _arrive(self, sender: str, to: str, message: Any) -> None:
-        if (sender, to) in self.faults.cut:
+    def _arrive(self, sender: str, receiver: str, message: Any) -> None:
+        if (sender, receiver) in self.faults.blocked:
             return
-        receive = self.receivers.get(to)
+        receive = self.receivers.get(receiver)
         if receive is None:
             return
-        stopped = self.clocks[to].stopped_at
+        stopped = self.clocks[receiver].stopped_at
         if stopped is not None:  # it waits in the socket until the instance goes on
-            self.at(self.now + 50 * MS, lambda: self._arrive(sender, to, message))
+            self.schedule(self.now + 50 * MS, lambda: self._arrive(sender, receiver, message))
             return
         receive(sender, message)
 
-    def run(self, until: int, each: Callable[[], None] | None = None) -> None:
+    def run(self, until: int, after_each: Callable[[], None] | None = None) -> None:
         while self._events and self._events[0][0] <= until:
-            self.now, _, act = heapq.heappop(self._events)
-            act()
-            if each is not None:
-                each()
+            self.now, _, action = heapq.heappop(self._events)
+            action()
+            if after_each is not None:
+                after_each()
         self.now = max(self.now, until)
--- a/arrowrail/membership/swim.py
+++ b/arrowrail/membership/swim.py
@@ -19,8 +19,8 @@
 MS, S = 1_000_000, 1_000_000_000
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
 STATES = ("alive", "suspect", "dead", "left")
-MOST_MEMBERS = 1024
-MOST_HEALTH = 8
+MAX_MEMBERS = 1024
+MAX_HEALTH_SCORE = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    number: int
+    sequence: int
     sender: str
     sender_address: str
     rumours: tuple[Rumour, ...] = ()
@@ -47,16 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    number: int
+    sequence: int
     sender: str
     rumours: tuple[Rumour, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class PingFor:
+class PingRequest:
     """Ask another to probe a member; it passes the answer on under the number."""
 
-    number: int
+    sequence: int
     sender: str
     sender_address: str
     target: str
@@ -70,35 +70,35 @@
 
     sender: str
     sender_address: str
-    answer: bool
+    reply_wanted: bool
     rumours: tuple[Rumour, ...]
 
 
-Message = Ping | Ack | PingFor | Sync
-Sends = list[tuple[str, Message]]  # address, message
+Message = Ping | Ack | PingRequest | Sync
+Outgoing = list[tuple[str, Message]]  # address, message
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class SwimSettings:
     """Times of this instance's own clock."""
 
     period_ns: int = S
-    answer_ns: int = 300 * MS  # for the direct probe; then others are asked until the period ends
-    helpers: int = 3
-    suspicion: float = 4.0  # periods, times log10 of the group's size; shorter with confirmations
-    gossip: float = 3.0  # how often a rumour is passed on, times log10 of the group's size
-    rumours: int = 8  # in one message
-    sync_ns: int = 10 * S  # with one member, the dead and the seeds included
-    sync_rumours: int = 16  # in one message of a sync
-    forget_ns: int = 300 * S  # when the dead and those who left are forgotten
+    ack_timeout_ns: int = 300 * MS  # for the direct probe; then others are asked until the period ends
+    indirect_probes: int = 3
+    suspicion_multiplier: float = 4.0  # periods, times log10 of the group's size; shorter with confirmations
+    retransmit_multiplier: float = 3.0  # how often a rumour is passed on, times log10 of the group's size
+    max_rumours: int = 8  # in one message
+    sync_interval_ns: int = 10 * S  # with one member, the dead and the seeds included
+    max_sync_rumours: int = 16  # in one message of a sync
+    forget_after_ns: int = 300 * S  # when the dead and those who left are forgotten
 
 
 @dataclass(slots=True)
 class Member:
     rumour: Rumour
-    since: int  # when its state was heard of
+    state_since: int  # when its state was heard of
     suspected_by: set[str] = field(default_factory=set)
-    dead_at: int = 0  # of a suspect: when it counts as dead
+    declare_dead_at: int = 0  # of a suspect: when it counts as dead
 
     @property
     def state(self) -> int:
@@ -108,14 +108,14 @@
 @dataclass(slots=True)
 class Probe:
     target: str
-    number: int
-    began: int
-    helped: bool = False
-    answered: bool = False
+    sequence: int
+    started_at: int
+    indirect_sent: bool = False
+    acked: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class MemberChange:
     """News for the instance: a member's state as it counts from now on."""
 
     name: str
@@ -125,280 +125,310 @@
 
 class Swim:
     def __init__(self, name: str, address: str, seeds: Iterable[str], now: int, seed: int,
-                 settings: Settings = Settings()) -> None:  # fmt: skip
+                 settings: SwimSettings = SwimSettings()) -> None:  # fmt: skip
         self.name, self.address, self.settings = name, address, settings
         self.seeds = [s for s in seeds if s != address]
         self.random = random.Random(seed)
         self.incarnation = 0
         self.members: dict[str, Member] = {}
-        self.changes: list[Change] = []
-        self.health = 0  # 0: well; each step makes this instance more patient
+        self.changes: list[MemberChange] = []
+        self.health_score = 0  # 0: well; each step makes this instance more patient
         self.left = False
         self.suspicions = 0  # made here, for operators
-        self._queue: dict[str, int] = {}  # rumours to pass on, by name: how often they were
-        self._order: list[str] = []
+        self._transmit_counts: dict[str, int] = {}  # rumours to pass on, by name: how often they were
+        self._probe_order: list[str] = []
         self._probe: Probe | None = None
-        self._helping: dict[int, tuple[str, int, int]] = {}  # own number: whom to tell, their number, until
-        self._number = 0
-        self._last_tick = self._heard_at = now
-        self._next_probe = now + self.random.randrange(settings.period_ns)
-        self._next_sync = now
+        self._relayed_probes: dict[
+            int, tuple[str, int, int]
+        ] = {}  # own number: whom to tell, their number, until
+        self._sequence = 0
+        self._last_tick = self._last_received_at = now
+        self._next_probe_at = now + self.random.randrange(settings.period_ns)
+        self._next_sync_at = now
 
     # --- What is known ----------------------------------------------------------------------------------
 
-    def alive(self) -> list[str]:
+    def live_members(self) -> list[str]:
         """Those who count as there, this instance among them: suspects still do."""
         others = [n for n, m in self.members.items() if m.state in (ALIVE, SUSPECT)]
         return sorted([*others, self.name]) if not self.left else sorted(others)
 
-    def own(self) -> Rumour:
+    def own_rumour(self) -> Rumour:
         return Rumour(self.name, self.address, self.incarnation, LEFT if self.left else ALIVE)
 
-    def states(self, now: int) -> Iterator[tuple[str, str, str, int, int]]:
+    def member_states(self, now: int) -> Iterator[tuple[str, str, str, int, int]]:
         """For operators: name, address, state, incarnation, and for how long (ns)."""
         yield self.name, self.address, "self", self.incarnation, 0
         for name, m in sorted(self.members.items()):
-            yield name, m.rumour.address, STATES[m.state], m.rumour.incarnation, now - m.since
+            yield name, m.rumour.address, STATES[m.state], m.rumour.incarnation, now - m.state_since
 
-    def _size(self) -> int:
+    def _live_count(self) -> int:
         return 1 + sum(1 for m in self.members.values() if m.state in (ALIVE, SUSPECT))
 
-    def _log(self) -> float:
-        return max(1.0, math.log10(self._size() + 1))
+    def _log_size(self) -> float:
+        return max(1.0, math.log10(self._live_count() + 1))
 
     # --- Rumours ----------------------------------------------------------------------------------------
 
-    def _hear(self, now: int, rumour: Rumour, by: str) -> None:
+    def _apply_rumour(self, now: int, rumour: Rumour, source: str) -> None:
         if rumour.name == self.name:
-            self._about_me(rumour)
+            self._refute(rumour)
             return
         known = self.members.get(rumour.name)
         if known is None:
-            if len(self.members) >= MOST_MEMBERS or rumour.state in (DEAD, LEFT):
+            if len(self.members) >= MAX_MEMBERS or rumour.state in (DEAD, LEFT):
                 return  # never heard of, and gone: nothing to know
-            self._take(now, rumour, by)
+            self._accept(now, rumour, source)
             return
         if rumour.rank > known.rumour.rank:
-            self._take(now, rumour, by)
-        elif rumour.rank == known.rumour.rank and rumour.state == SUSPECT and by not in known.suspected_by:
-            self._confirm(now, known, by)
+            self._accept(now, rumour, source)
+        elif (
+            rumour.rank == known.rumour.rank and rumour.state == SUSPECT and source not in known.suspected_by
+        ):
+            self._confirm_suspicion(now, known, source)
 
-    def _take(self, now: int, rumour: Rumour, by: str) -> None:
+    def _accept(self, now: int, rumour: Rumour, source: str) -> None:
         before = self.members.get(rumour.name)
         member = self.members[rumour.name] = Member(rumour, now)
         if rumour.state == SUSPECT:
-            member.suspected_by = {by}
-            member.dead_at = now + self._suspicion_ns(1)
-        self._queue[rumour.name] = 0
+            member.suspected_by = {source}
+            member.declare_dead_at = now + self._suspicion_ns(1)
+        self._transmit_counts[rumour.name] = 0
         if before is None or before.state != rumour.state or before.rumour.incarnation < rumour.incarnation:
-            self.changes.append(Change(rumour.name, rumour.state, rumour.incarnation))
+            self.changes.append(MemberChange(rumour.name, rumour.state, rumour.incarnation))
 
-    def _confirm(self, now: int, member: Member, by: str) -> None:
+    def _confirm_suspicion(self, now: int, member: Member, source: str) -> None:
         """Another who suspects it by itself: the more there are, the less time is left to refute."""
-        member.suspected_by.add(by)
-        member.dead_at = min(
-            member.dead_at, max(now, member.since + self._suspicion_ns(len(member.suspected_by)))
+        member.suspected_by.add(source)
+        member.declare_dead_at = min(
+            member.declare_dead_at,
+            max(now, member.state_since + self._suspicion_ns(len(member.suspected_by))),
         )
-        self._queue[member.rumour.name] = min(self._queue.get(member.rumour.name, 0), 1)
-
-    def _suspicion_ns(self, by: int) -> int:
-        longest = self.settings.suspicion * self._log() * self.settings.period_ns * (1 + self.health)
-        shortest = longest / 2
-        share = min(1.0, math.log(by) / math.log(4)) if by > 1 else 0.0
-        return int(longest - (longest - shortest) * share)
+        self._transmit_counts[member.rumour.name] = min(self._transmit_counts.get(member.rumour.name, 0), 1)
+
+    def _suspicion_ns(self, confirmations: int) -> int:
+        longest_ns = (
+            self.settings.suspicion_multiplier
+            * self._log_size()
+            * self.settings.period_ns
+            * (1 + self.health_score)
+        )
+        shortest_ns = longest_ns / 2
+        fraction = min(1.0, math.log(confirmations) / math.log(4)) if confirmations > 1 else 0.0
+        return int(longest_ns - (longest_ns - shortest_ns) * fraction)
 
-    def _about_me(self, rumour: Rumour) -> None:
+    def _refute(self, rumour: Rumour) -> None:
         """Refute what is not so: this instance is there, under a higher incarnation."""
         if self.left:
             return
         if rumour.rank > (self.incarnation, ALIVE) or rumour.address != self.address:
             self.incarnation = max(self.incarnation, rumour.incarnation) + 1
-            self._queue[self.name] = 0
+            self._transmit_counts[self.name] = 0
             if rumour.state == SUSPECT:
-                self._unwell()
+                self._worsen_health()
 
-    def _unwell(self) -> None:
-        self.health = min(MOST_HEALTH, self.health + 1)
+    def _worsen_health(self) -> None:
+        self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
 
-    def _gossip(self, to: str = "") -> tuple[Rumour, ...]:
+    def _select_rumours(self, receiver: str = "") -> tuple[Rumour, ...]:
         """The rumours that were passed on least; one that concerns the receiver goes first."""
-        most = math.ceil(self.settings.gossip * self._log())
-        chosen = sorted(self._queue, key=lambda n: (n != to, self._queue[n], n))[: self.settings.rumours]
-        found = []
+        max_transmits = math.ceil(self.settings.retransmit_multiplier * self._log_size())
+        chosen = sorted(self._transmit_counts, key=lambda n: (n != receiver, self._transmit_counts[n], n))[
+            : self.settings.max_rumours
+        ]
+        selected = []
         for name in chosen:
-            found.append(self.own() if name == self.name else self.members[name].rumour)
-            self._queue[name] += 1
-            if self._queue[name] >= most:
-                del self._queue[name]
-        target = self.members.get(to)
-        if target is not None and target.state == SUSPECT and target.rumour not in found:
-            found.append(target.rumour)  # so that it can refute
-        return tuple(found)
+            selected.append(self.own_rumour() if name == self.name else self.members[name].rumour)
+            self._transmit_counts[name] += 1
+            if self._transmit_counts[name] >= max_transmits:
+                del self._transmit_counts[name]
+        target = self.members.get(receiver)
+        if target is not None and target.state == SUSPECT and target.rumour not in selected:
+            selected.append(target.rumour)  # so that it can refute
+        return tuple(selected)
 
     # --- Time -------------------------------------------------------------------------------------------
 
-    def tick(self, now: int) -> Sends:
+    def tick(self, now: int) -> Outgoing:
         """To be called some times a period; what has to be sent is returned."""
         if self.left:
             return []
-        gap = now - self._last_tick
+        gap_ns = now - self._last_tick
         self._last_tick = now
-        if gap > self.settings.period_ns:
-            self._stood_still(gap)
-        out: Sends = []
+        if gap_ns > self.settings.period_ns:
+            self._handle_pause(gap_ns)
+        outgoing: Outgoing = []
         self._expire(now)
-        self._go_on(now, out)
-        if now >= self._next_probe:
+        self._probe_indirectly(now, outgoing)
+        if now >= self._next_probe_at:
             self._end_probe(now)
-            self._begin_probe(now, out)
-        if now >= self._next_sync:
-            self._next_sync = now + self.settings.sync_ns // 2 + self.random.randrange(self.settings.sync_ns)
-            self._sync(out)
-        return out
-
-    def _stood_still(self, gap: int) -> None:
+            self._begin_probe(now, outgoing)
+        if now >= self._next_sync_at:
+            self._next_sync_at = (
+                now
+                + self.settings.sync_interval_ns // 2
+                + self.random.randrange(self.settings.sync_interval_ns)
+            )
+            self._start_sync(outgoing)
+        return outgoing
+
+    def _handle_pause(self, gap_ns: int) -> None:
         """This instance did nothing for a while: what it missed says nothing of others."""
-        self._unwell()
+        self._worsen_health()
         self._probe = None
         for member in self.members.values():
             if member.state == SUSPECT:
-                member.dead_at += gap
+                member.declare_dead_at += gap_ns
 
     def _expire(self, now: int) -> None:
         for name, member in list(self.members.items()):
-            if member.state == SUSPECT and now >= member.dead_at:
-                self._take(now, replace(member.rumour, state=DEAD), self.name)
-            elif member.state in (DEAD, LEFT) and now - member.since > self.settings.forget_ns:
+            if member.state == SUSPECT and now >= member.declare_dead_at:
+                self._accept(now, replace(member.rumour, state=DEAD), self.name)
+            elif member.state in (DEAD, LEFT) and now - member.state_since > self.settings.forget_after_ns:
                 del self.members[name]
-                self._queue.pop(name, None)
-        self._helping = {n: h for n, h in self._helping.items() if h[2] > now}
+                self._transmit_counts.pop(name, None)
+        self._relayed_probes = {n: entry for n, entry in self._relayed_probes.items() if entry[2] > now}
 
-    def _answer_ns(self) -> int:
+    def _ack_timeout_ns(self) -> int:
         return min(
-            self.settings.answer_ns * (1 + self.health), self.settings.period_ns * (1 + self.health) // 2
+            self.settings.ack_timeout_ns * (1 + self.health_score),
+            self.settings.period_ns * (1 + self.health_score) // 2,
         )
 
-    def _go_on(self, now: int, out: Sends) -> None:
+    def _probe_indirectly(self, now: int, outgoing: Outgoing) -> None:
         """The direct probe has gone unanswered: others are asked."""
         probe = self._probe
-        if probe is None or probe.answered or probe.helped or now - probe.began < self._answer_ns():
+        if (
+            probe is None
+            or probe.acked
+            or probe.indirect_sent
+            or now - probe.started_at < self._ack_timeout_ns()
+        ):
             return
-        probe.helped = True
+        probe.indirect_sent = True
         target = self.members.get(probe.target)
-        others = [n for n, m in self.members.items() if m.state == ALIVE and n != probe.target]
-        for helper in self.random.sample(others, min(self.settings.helpers, len(others))):
+        candidates = [n for n, m in self.members.items() if m.state == ALIVE and n != probe.target]
+        for helper in self.random.sample(candidates, min(self.settings.indirect_probes, len(candidates))):
             if target is not None:
-                message = PingFor(probe.number, self.name, self.address, probe.target,
-                                  target.rumour.address, self._gossip(helper))  # fmt: skip
-                out.append((self.members[helper].rumour.address, message))
+                message = PingRequest(probe.sequence, self.name, self.address, probe.target,
+                                  target.rumour.address, self._select_rumours(helper))  # fmt: skip
+                outgoing.append((self.members[helper].rumour.address, message))
 
     def _end_probe(self, now: int) -> None:
         probe, self._probe = self._probe, None
         if probe is None:
             return
-        if probe.answered:
-            self.health = max(0, self.health - 1)
+        if probe.acked:
+            self.health_score = max(0, self.health_score - 1)
             return
-        if self._heard_at < probe.began:
-            self._unwell()  # nobody was heard meanwhile: the fault may be this instance's own
+        if self._last_received_at < probe.started_at:
+            self._worsen_health()  # nobody was heard meanwhile: the fault may be this instance's own
         member = self.members.get(probe.target)
         if member is None:
             return
         if member.state == ALIVE:
             self.suspicions += 1
-            self._take(now, replace(member.rumour, state=SUSPECT), self.name)
+            self._accept(now, replace(member.rumour, state=SUSPECT), self.name)
         elif member.state == SUSPECT and self.name not in member.suspected_by:
-            self._confirm(now, member, self.name)
+            self._confirm_suspicion(now, member, self.name)
 
-    def _begin_probe(self, now: int, out: Sends) -> None:
-        self._next_probe = now + self.settings.period_ns * (1 + self.health)
-        while self._order:
-            name = self._order.pop()
+    def _begin_probe(self, now: int, outgoing: Outgoing) -> None:
+        self._next_probe_at = now + self.settings.period_ns * (1 + self.health_score)
+        while self._probe_order:
+            name = self._probe_order.pop()
             member = self.members.get(name)
             if member is not None and member.state in (ALIVE, SUSPECT):
                 break
         else:
-            self._order = [n for n, m in self.members.items() if m.state in (ALIVE, SUSPECT)]
-            self.random.shuffle(self._order)
-            if not self._order:
+            self._probe_order = [n for n, m in self.members.items() if m.state in (ALIVE, SUSPECT)]
+            self.random.shuffle(self._probe_order)
+            if not self._probe_order:
                 return
-            name = self._order.pop()
+            name = self._probe_order.pop()
             member = self.members[name]
-        self._number += 1
-        self._probe = Probe(name, self._number, now)
-        ping = Ping(self._number, self.name, self.address, self._gossip(name))
-        out.append((member.rumour.address, ping))
+        self._sequence += 1
+        self._probe = Probe(name, self._sequence, now)
+        ping = Ping(self._sequence, self.name, self.address, self._select_rumours(name))
+        outgoing.append((member.rumour.address, ping))
 
-    def _sync(self, out: Sends) -> None:
+    def _start_sync(self, outgoing: Outgoing) -> None:
         """With one of all that were ever heard of: so a split heals, and news that was lost comes round."""
         addresses = {m.rumour.address for m in self.members.values() if m.state != LEFT} | set(self.seeds)
-        alive = {m.rumour.address for m in self.members.values() if m.state == ALIVE}
-        gone = sorted(addresses - alive)
-        for address in self._some(sorted(alive)) + self._some(gone):
-            out += [(address, message) for message in self._all(True)]
+        live = {m.rumour.address for m in self.members.values() if m.state == ALIVE}
+        gone = sorted(addresses - live)
+        for address in self._pick_one(sorted(live)) + self._pick_one(gone):
+            outgoing += [(address, message) for message in self._sync_messages(True)]
 
-    def _some(self, addresses: list[str]) -> list[str]:
+    def _pick_one(self, addresses: list[str]) -> list[str]:
         return [self.random.choice(addresses)] if addresses else []
 
-    def _all(self, answer: bool) -> list[Sync]:
-        rumours = [self.own(), *(m.rumour for m in self.members.values())]
-        size = self.settings.sync_rumours
-        parts = [tuple(rumours[at : at + size]) for at in range(0, len(rumours), size)]
-        return [Sync(self.name, self.address, answer and at == 0, part) for at, part in enumerate(parts)]
+    def _sync_messages(self, reply_wanted: bool) -> list[Sync]:
+        rumours = [self.own_rumour(), *(m.rumour for m in self.members.values())]
+        size = self.settings.max_sync_rumours
+        parts = [tuple(rumours[start : start + size]) for start in range(0, len(rumours), size)]
+        return [
+            Sync(self.name, self.address, reply_wanted and index == 0, part)
+            for index, part in enumerate(parts)
+        ]
 
     # --- Messages ---------------------------------------------------------------------------------------
 
-    def receive(self, now: int, message: Message) -> Sends:
+    def receive(self, now: int, message: Message) -> Outgoing:
         if self.left:
             return []
-        self._heard_at = now
+        self._last_received_at = now
         for rumour in message.rumours:
-            self._hear(now, rumour, message.sender)
+            self._apply_rumour(now, rumour, message.sender)
         if isinstance(message, Ping):
-            self._met(now, message.sender, message.sender_address)
-            return [(message.sender_address, Ack(message.number, self.name, self._gossip(message.sender)))]
-        if isinstance(message, PingFor):
-            self._number += 1
-            until = now + 2 * self.settings.period_ns
-            if len(self._helping) < MOST_MEMBERS:
-                self._helping[self._number] = (message.sender_address, message.number, until)
-            ping = Ping(self._number, self.name, self.address, self._gossip(message.target))
+            self._note_sender(now, message.sender, message.sender_address)
+            return [
+                (
+                    message.sender_address,
+                    Ack(message.sequence, self.name, self._select_rumours(message.sender)),
+                )
+            ]
+        if isinstance(message, PingRequest):
+            self._sequence += 1
+            expires_at = now + 2 * self.settings.period_ns
+            if len(self._relayed_probes) < MAX_MEMBERS:
+                self._relayed_probes[self._sequence] = (message.sender_address, message.sequence, expires_at)
+            ping = Ping(self._sequence, self.name, self.address, self._select_rumours(message.target))
             return [(message.target_address, ping)]
         if isinstance(message, Ack):
-            return self._acked(message)
-        self._met(now, message.sender, message.sender_address)
-        if message.answer:
-            return [(message.sender_address, part) for part in self._all(False)]
+            return self._handle_ack(message)
+        self._note_sender(now, message.sender, message.sender_address)
+        if message.reply_wanted:
+            return [(message.sender_address, part) for part in self._sync_messages(False)]
         return []
 
-    def _acked(self, message: Ack) -> Sends:
-        helped = self._helping.pop(message.number, None)
-        if helped is not None:
-            address, number, _ = helped
-            return [(address, Ack(number, message.sender, self._gossip()))]
+    def _handle_ack(self, message: Ack) -> Outgoing:
+        relayed = self._relayed_probes.pop(message.sequence, None)
+        if relayed is not None:
+            address, sequence, _ = relayed
+            return [(address, Ack(sequence, message.sender, self._select_rumours()))]
         probe = self._probe
-        if probe is not None and (probe.number, probe.target) == (message.number, message.sender):
-            probe.answered = True
+        if probe is not None and (probe.sequence, probe.target) == (message.sequence, message.sender):
+            probe.acked = True
         return []
 
-    def _met(self, now: int, name: str, address: str) -> None:
+    def _note_sender(self, now: int, name: str, address: str) -> None:
         """Who speaks is there; one that counts as gone learns of it from the answer, and refutes."""
         known = self.members.get(name)
         if known is None and name != self.name:
-            self._hear(now, Rumour(name, address, 0, ALIVE), name)
+            self._apply_rumour(now, Rumour(name, address, 0, ALIVE), name)
         elif known is not None and known.state in (SUSPECT, DEAD):
-            self._queue.setdefault(name, 0)
+            self._transmit_counts.setdefault(name, 0)
 
     # --- The end ----------------------------------------------------------------------------------------
 
-    def leave(self) -> Sends:
+    def leave(self) -> Outgoing:
         """Say goodbye to all that are there: nobody has to find out by silence."""
         if self.left:
             return []
         self.left = True
-        goodbye = (self.own(),)
+        farewell = (self.own_rumour(),)
         return [
-            (m.rumour.address, Sync(self.name, self.address, False, goodbye))
+            (m.rumour.address, Sync(self.name, self.address, False, farewell))
             for m in self.members.values()
             if m.state in (ALIVE, SUSPECT)
         ]
--- a/arrowrail/scheduling/scheduler.py
+++ b/arrowrail/scheduling/scheduler.py
@@ -17,10 +17,10 @@
 MS, S = 1_000_000, 1_000_000_000
 MILLION = 1_000_000
 URGENT, NORMAL, IDLE = 0, 1, 2  # priorities
-NAMES = ("urgent", "normal", "idle")
-Slices = Generator[None, None, None]
+PRIORITY_NAMES = ("urgent", "normal", "idle")
+SliceGenerator = Generator[None, None, None]
 
-DONE, CANCELLED, LATE, CUT, FAILED = "done", "cancelled", "late", "cut", "failed"
+DONE, CANCELLED, DEADLINE_EXCEEDED, ABORTED, FAILED = "done", "cancelled", "late", "cut", "failed"
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,60 +32,60 @@
     slice_ns: int = MS  # a longer slice counts against its job
     share_ppm: int = 100_000  # of all processor time: a tenth
     burst_ns: int = 50 * MS  # saved up at most
-    long_slices: int = 8  # of one run: then it is ended
+    max_long_slices: int = 8  # of one run: then it is ended
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class JobSpec:
     """One kind of background work."""
 
     name: str
-    make: Callable[[], Slices]
+    create: Callable[[], SliceGenerator]
     period_ns: int = 0  # 0: once, each time that it is asked for
     priority: int = NORMAL
-    jitter_ppm: int = 100_000  # of the period: how far a run may be put off, drawn anew each time
+    max_jitter_ppm: int = 100_000  # of the period: how far a run may be put off, drawn anew each time
     deadline_ns: int = 0  # a run that is not through by then is ended; 0: none
     rate_milli: int = 0  # slices in 1,000 s at most; 0: as the budgets allow
 
 
 @dataclass(slots=True)
 class Job:
-    kind: Kind
-    due: int  # when its next run may begin
-    running: Slices | None = None
-    began: int = 0
+    spec: JobSpec
+    due_at: int  # when its next run may begin
+    generator: SliceGenerator | None = None
+    started_at: int = 0
     used_ns: int = 0
     slices: int = 0
-    long: int = 0
+    long_slices: int = 0
     not_before: int = 0  # no slice sooner
-    planned: int = 0  # when the run was due without jitter: the next is counted from it
-    turn: int = 0  # its place among those that wait equally long
+    planned_at: int = 0  # when the run was due without jitter: the next is counted from it
+    queue_position: int = 0  # its place among those that wait equally long
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RunResult:
     """A run that is over."""
 
     name: str
-    how: str
+    outcome: str
     used_ns: int
     slices: int
-    late_ns: int  # after it was due until it began
+    start_delay_ns: int  # after it was due until it began
 
 
 @dataclass(slots=True)
-class Account:
+class CpuBucket:
     """Processor time that background work may take, filled at its share of all time."""
 
     share_ppm: int
     burst_ns: int
-    at: int
-    saved: int = 0
+    filled_at: int
+    available_ns: int = 0
 
     def fill(self, now: int) -> None:
-        passed = max(0, now - self.at)
-        self.at = now
-        self.saved = min(self.burst_ns, self.saved + passed * self.share_ppm // MILLION)
+        elapsed_ns = max(0, now - self.filled_at)
+        self.filled_at = now
+        self.available_ns = min(self.burst_ns, self.available_ns + elapsed_ns * self.share_ppm // MILLION)
 
 
 @dataclass(slots=True)
@@ -94,92 +94,95 @@
     seed: int
     now: int
     jobs: dict[str, Job] = field(default_factory=dict)
-    ended: list[Ended] = field(default_factory=list)
-    turns: int = 0
+    results: list[RunResult] = field(default_factory=list)
+    last_position: int = 0
     random: random.Random = field(init=False)
-    account: Account = field(init=False)
+    cpu_bucket: CpuBucket = field(init=False)
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
-        b = self.budgets
-        self.account = Account(b.share_ppm, b.burst_ns, self.now, b.turn_ns)
+        budgets = self.budgets
+        self.cpu_bucket = CpuBucket(budgets.share_ppm, budgets.burst_ns, self.now, budgets.turn_ns)
 
     # --- What there is to do ----------------------------------------------------------------------------
 
-    def add(self, kind: Kind, now: int) -> None:
+    def add_periodic(self, spec: JobSpec, now: int) -> None:
         """Periodic work begins at a random point of its first period: instances must not fall in step."""
-        first = self.random.randrange(kind.period_ns) if kind.period_ns else 0
-        self.jobs[kind.name] = Job(kind, now + first, planned=now + first)
+        first_delay = self.random.randrange(spec.period_ns) if spec.period_ns else 0
+        self.jobs[spec.name] = Job(spec, now + first_delay, planned_at=now + first_delay)
 
-    def ask(self, kind: Kind, now: int) -> bool:
+    def submit(self, spec: JobSpec, now: int) -> bool:
         """Work to be done once, soon; false if the same is waiting or under way."""
-        if kind.name in self.jobs:
+        if spec.name in self.jobs:
             return False
-        self.jobs[kind.name] = Job(kind, now, planned=now)
+        self.jobs[spec.name] = Job(spec, now, planned_at=now)
         return True
 
     def cancel(self, name: str) -> bool:
         """End it, also in the middle of a run: its generator is closed where it stands."""
         job = self.jobs.pop(name, None)
-        if job is not None and job.running is not None:
-            self._end(job, CANCELLED)
+        if job is not None and job.generator is not None:
+            self._finish_run(job, CANCELLED)
         return job is not None
 
-    def next_at(self, now: int) -> int | None:
+    def next_due_at(self, now: int) -> int | None:
         """When there may be something to do again; ``None``: nothing is known."""
-        times = [max(j.not_before if j.running is not None else j.due, now) for j in self.jobs.values()]
+        times = [
+            max(job.not_before if job.generator is not None else job.due_at, now)
+            for job in self.jobs.values()
+        ]
         if not times:
             return None
-        soonest = min(times)
-        if self.account.saved > 0 or soonest > now:
-            return soonest
-        return now + -self.account.saved * MILLION // max(1, self.account.share_ppm) + MS
+        earliest = min(times)
+        if self.cpu_bucket.available_ns > 0 or earliest > now:
+            return earliest
+        return now + -self.cpu_bucket.available_ns * MILLION // max(1, self.cpu_bucket.share_ppm) + MS
 
     # --- One turn ---------------------------------------------------------------------------------------
 
-    def turn(self, now: int, clock: Callable[[], int], busy: bool) -> int:
+    def run_turn(self, now: int, clock: Callable[[], int], busy: bool) -> int:
         """Run what is due within the turn's budget; returns the processor time used.
 
         ``clock`` is read after each slice only; ``busy``: the turn handled calls, which go first.
         """
-        self.account.fill(now)
-        left = self.budgets.busy_turn_ns if busy else self.budgets.turn_ns
-        used, at = 0, clock()
-        while left > used and self.account.saved > 0:
-            job = self._next(now, busy)
+        self.cpu_bucket.fill(now)
+        budget_ns = self.budgets.busy_turn_ns if busy else self.budgets.turn_ns
+        used_ns, last_read = 0, clock()
+        while budget_ns > used_ns and self.cpu_bucket.available_ns > 0:
+            job = self._pick_job(now, busy)
             if job is None:
                 break
-            over = self._slice(job, now)
-            after = clock()
-            took, at = max(0, after - at), after
-            used += took
-            self.account.saved -= took
-            self._book(job, now, took, over)
-        return used
-
-    def _next(self, now: int, busy: bool) -> Job | None:
+            run_outcome = self._run_slice(job, now)
+            read_at = clock()
+            elapsed_ns, last_read = max(0, read_at - last_read), read_at
+            used_ns += elapsed_ns
+            self.cpu_bucket.available_ns -= elapsed_ns
+            self._charge(job, now, elapsed_ns, run_outcome)
+        return used_ns
+
+    def _pick_job(self, now: int, busy: bool) -> Job | None:
         """The most urgent first; among equals, what has waited longest."""
         best: Job | None = None
         for job in self.jobs.values():
-            if busy and job.kind.priority == IDLE:
+            if busy and job.spec.priority == IDLE:
                 continue
-            ready = job.not_before <= now if job.running is not None else job.due <= now
-            if ready and (best is None or self._rank(job) < self._rank(best)):
+            ready = job.not_before <= now if job.generator is not None else job.due_at <= now
+            if ready and (best is None or self._sort_key(job) < self._sort_key(best)):
                 best = job
         return best
 
     @staticmethod
-    def _rank(job: Job) -> tuple[int, int, int, str]:
-        return job.kind.priority, max(job.due, job.not_before), job.turn, job.kind.name
+    def _sort_key(job: Job) -> tuple[int, int, int, str]:
+        return job.spec.priority, max(job.due_at, job.not_before), job.queue_position, job.spec.name
 
-    def _slice(self, job: Job, now: int) -> str:
+    def _run_slice(self, job: Job, now: int) -> str:
         """One slice of a job's run; how the run ended, if it did."""
-        if job.running is None:
-            job.running, job.began = job.kind.make(), now
-            job.used_ns = job.slices = job.long = 0
+        if job.generator is None:
+            job.generator, job.started_at = job.spec.create(), now
+            job.used_ns = job.slices = job.long_slices = 0
         job.slices += 1
         try:
-            next(job.running)
+            next(job.generator)
         except StopIteration:
             return DONE
         except Exception:
@@ -187,49 +190,53 @@
             return FAILED
         return ""
 
-    def _book(self, job: Job, now: int, took: int, over: str) -> None:
-        job.used_ns += took
-        if took > self.budgets.slice_ns:
-            job.long += 1
+    def _charge(self, job: Job, now: int, elapsed_ns: int, run_outcome: str) -> None:
+        job.used_ns += elapsed_ns
+        if elapsed_ns > self.budgets.slice_ns:
+            job.long_slices += 1
             # What took too long stands back for as long as its share of time would have needed.
-            job.not_before = now + took * MILLION // max(1, self.budgets.share_ppm)
-        if job.kind.rate_milli:
-            job.not_before = max(job.not_before, now + 1000 * S // job.kind.rate_milli)
-        if over:
-            self._end(job, over)
-        elif job.long >= self.budgets.long_slices:
-            self._end(job, CUT)
-        elif job.kind.deadline_ns and now - job.began >= job.kind.deadline_ns:
-            self._end(job, LATE)
+            job.not_before = now + elapsed_ns * MILLION // max(1, self.budgets.share_ppm)
+        if job.spec.rate_milli:
+            job.not_before = max(job.not_before, now + 1000 * S // job.spec.rate_milli)
+        if run_outcome:
+            self._finish_run(job, run_outcome)
+        elif job.long_slices >= self.budgets.max_long_slices:
+            self._finish_run(job, ABORTED)
+        elif job.spec.deadline_ns and now - job.started_at >= job.spec.deadline_ns:
+            self._finish_run(job, DEADLINE_EXCEEDED)
         else:
             # Behind the others of its priority: no long run keeps them waiting.
             job.not_before = max(job.not_before, now)
-            self.turns += 1
-            job.due, job.turn = now, self.turns
-
-    def _end(self, job: Job, how: str) -> None:
-        running, job.running = job.running, None
-        if running is not None and how not in (DONE, FAILED):
-            running.close()
-        self.ended.append(Ended(job.kind.name, how, job.used_ns, job.slices, max(0, job.began - job.planned)))
-        del self.ended[:-64]
-        kind = job.kind
-        if kind.name not in self.jobs:
+            self.last_position += 1
+            job.due_at, job.queue_position = now, self.last_position
+
+    def _finish_run(self, job: Job, outcome: str) -> None:
+        generator, job.generator = job.generator, None
+        if generator is not None and outcome not in (DONE, FAILED):
+            generator.close()
+        self.results.append(
+            RunResult(
+                job.spec.name, outcome, job.used_ns, job.slices, max(0, job.started_at - job.planned_at)
+            )
+        )
+        del self.results[:-64]
+        spec = job.spec
+        if spec.name not in self.jobs:
             return
-        if not kind.period_ns:
-            del self.jobs[kind.name]
+        if not spec.period_ns:
+            del self.jobs[spec.name]
             return
         # Counted from when it was due, so that periods do not stretch; what was missed whole is left out.
-        job.planned += kind.period_ns * max(1, (job.began - job.planned) // kind.period_ns + 1)
-        job.due = job.planned + self._jitter(kind)
+        job.planned_at += spec.period_ns * max(1, (job.started_at - job.planned_at) // spec.period_ns + 1)
+        job.due_at = job.planned_at + self._jitter(spec)
         job.not_before = 0
 
-    def _jitter(self, kind: Kind) -> int:
-        most = kind.period_ns * kind.jitter_ppm // MILLION
-        return self.random.randrange(most) if most > 0 else 0
+    def _jitter(self, spec: JobSpec) -> int:
+        max_jitter_ns = spec.period_ns * spec.max_jitter_ppm // MILLION
+        return self.random.randrange(max_jitter_ns) if max_jitter_ns > 0 else 0
 
-    def states(self, now: int) -> Iterator[tuple[str, str, int]]:
+    def job_states(self, now: int) -> Iterator[tuple[str, str, int]]:
         """For operators: name, what it is at, and how long until its next run (ns)."""
         for name, job in sorted(self.jobs.items()):
-            at = "running" if job.running is not None else "waiting"
-            yield name, f"{NAMES[job.kind.priority]}, {at}", max(0, job.due - now)
+            state = "running" if job.generator is not None else "waiting"
+            yield name, f"{PRIORITY_NAMES[job.spec.priority]}, {state}", max(0, job.due_at - now)
--- a/arrowrail/sidecar/compile.py
+++ b/arrowrail/sidecar/compile.py
@@ -10,7 +10,7 @@
 
 from arrowrail.config.records import Application, Exchange, Site
 from arrowrail.config.rules import Inventory, links_each
-from arrowrail.group.plan import GroupPlan
+from arrowrail.group.config import GroupConfig
 from arrowrail.limits import plan as limits
 from arrowrail.pools import plan as pools
 from arrowrail.pools.plan import fallback_order, route_name
@@ -80,7 +80,7 @@
     log_level: str
     log_form: str
     links_each: int
-    group: GroupPlan | None = None
+    group: GroupConfig | None = None
 
 
 def compile_(a: Application, v: Inventory, numbers: Mapping[str, int] | None = None) -> Compiled:
@@ -107,11 +107,11 @@
     )  # fmt: skip
 
 
-def _group(a: Application) -> GroupPlan | None:
+def _group(a: Application) -> GroupConfig | None:
     g = a.group
     if g is None:
         return None
-    return GroupPlan(
+    return GroupConfig(
         g.group, g.me, g.listen, g.bind or g.listen, dict(g.members), dict(g.joining), g.seeds,
         {int(n): bytes.fromhex(text) for n, text in g.keys.items()}, g.send_key, g.lease,
         int(g.drift * 1_000_000), g.memory, g.control, g.probe_period, g.probe_time_out,
--- a/arrowrail/sidecar/main.py
+++ b/arrowrail/sidecar/main.py
@@ -11,7 +11,7 @@
 
 from arrowrail.core.engine import Core
 from arrowrail.core.requests import MS, Q850_CUT
-from arrowrail.duties.hints import SILENT
+from arrowrail.duties.probe_results import SILENT
 from arrowrail.run.config import Config
 from arrowrail.run.log import log_to
 from arrowrail.run.main import Program
@@ -26,8 +26,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from arrowrail.group.instance import Run
-    from arrowrail.group.runtime import Group
+    from arrowrail.group.instance import DutyRun
+    from arrowrail.group.runtime import GroupRuntime
     from arrowrail.wire.m3ua.rules import ClassRule
 
 GOOD, FAULTS, NO_PORT = 0, 1, 3
@@ -49,7 +49,7 @@
         self.folder, self.form = folder, form  # the form of logs, where the command line names it
         self.numbers: dict[str, int] = {line.name: line.number for line in compiled.lines}
         self._m3ua = _signalling(self.program, compiled)
-        self.group: Group | None = None
+        self.group: GroupRuntime | None = None
         self._alone_since: dict[int, int] = {}  # by front: since when it has had no connection
 
     # --- Start ------------------------------------------------------------------------------------------
@@ -65,9 +65,9 @@
         if self._m3ua is not None:
             self._m3ua.start()
         if c.group is not None:
-            from arrowrail.group.runtime import Group
+            from arrowrail.group.runtime import GroupRuntime
 
-            self.group = Group(loop, c.group, self._probe, int.from_bytes(os.urandom(8), "big"))
+            self.group = GroupRuntime(loop, c.group, self._probe, int.from_bytes(os.urandom(8), "big"))
             self.group.set_duties(self._duties())
         loop.deadlines.at(loop.now + TICK_NS, self._tick)
         # What lives as long as the process is left out of every later look for garbage.
@@ -94,13 +94,13 @@
         """Calls first; background work takes what its budgets leave it."""
         self.program.turn()
         if self.group is not None:
-            self.group.background(busy=bool(self.core.events or self.core.unanswered))
+            self.group.run_background(busy=bool(self.core.events or self.core.unanswered))
 
     def _duties(self) -> list[str]:
         lines = self.compiled.lines
         return [f"{PROBE}{line.name}" for line in lines if line.signalling == "binary"]
 
-    def _probe(self, run: Run, done: Callable[[bool], None]) -> bool:
+    def _probe(self, run: DutyRun, done: Callable[[bool], None]) -> bool:
         """One probe of an exchange in service, under the fence of its duty's epoch."""
         name = run.duty.removeprefix(PROBE)
         group = self.compiled.group
@@ -108,7 +108,7 @@
         desk = next((d for d in desks if d.told.state == IN_SERVICE), None)
         if desk is None or group is None:
             return False
-        fence = f"{run.duty} {run.epoch} {run.run} {group.name}"
+        fence = f"{run.duty} {run.epoch} {run.number} {group.name}"
         back: Any = self.core.backs["binary"]
         if not back.probe(desk, fence, group.probe_time_out_ns, done):
             done(False)
@@ -151,7 +151,7 @@
         if self._m3ua is not None:
             self._m3ua.use(new)
         if self.group is not None and new.group is not None:
-            self.group.use(new.group)
+            self.group.update_config(new.group)
             self.group.set_duties(self._duties())
         log_to(new.log_level, self.form or new.log_form)
         event(
@@ -165,9 +165,9 @@
         loop = self.program.loop
         self.core.events += self.admission.due(loop.now)
         if self.group is not None:
-            hints = self.group.instance.hints
+            probe_results = self.group.instance.probe_results
             silent = [line.number for line in self.compiled.lines
-                      if hints.verdict(loop.now, PROBE + line.name) == SILENT]  # fmt: skip
+                      if probe_results.verdict(loop.now, PROBE + line.name) == SILENT]  # fmt: skip
             self.core.events += self.admission.doubted(loop.now, silent)
         self._forget_emptied()
         self._release_orphans()
--- a/arrowrail/wire/group/messages.py
+++ b/arrowrail/wire/group/messages.py
@@ -14,20 +14,30 @@
 
 import msgspec
 
-from arrowrail.duties.hints import Hint
+from arrowrail.duties.probe_results import ProbeResult
 from arrowrail.leases.batch import Batch
-from arrowrail.leases.promise import Ask, Release, Reply
-from arrowrail.membership.swim import Ack, Ping, PingFor, Rumour, Sync
+from arrowrail.leases.promise import AcquireRequest, Release, Reply
+from arrowrail.membership.swim import Ack, Ping, PingRequest, Rumour, Sync
 
 VERSION = 1
-MAC = 16  # bytes of HMAC-SHA256 that are sent
+MAC_BYTES = 16  # bytes of HMAC-SHA256 that are sent
 MAX_DATAGRAM = 1400  # fits an Ethernet frame whole
-MOST_TEXT = 128  # characters of a name or address
-KINDS: tuple[type[Any], ...] = (Ping, Ack, PingFor, Sync, Ask, Reply, Release, Hint, Batch)
-BATCHED = (Ask, Reply, Release)
-MOST_BATCHED = 64
-Head = tuple[str, str, str, int, int]
-Message = Ping | Ack | PingFor | Sync | Ask | Reply | Release | Hint | Batch
+MAX_TEXT_LENGTH = 128  # characters of a name or address
+MESSAGE_TYPES: tuple[type[Any], ...] = (
+    Ping,
+    Ack,
+    PingRequest,
+    Sync,
+    AcquireRequest,
+    Reply,
+    Release,
+    ProbeResult,
+    Batch,
+)
+BATCHABLE_TYPES = (AcquireRequest, Reply, Release)
+MAX_BATCH_SIZE = 64
+Header = tuple[str, str, str, int, int]
+Message = Ping | Ack | PingRequest | Sync | AcquireRequest | Reply | Release | ProbeResult | Batch
 
 
 class GroupError(Exception):
@@ -35,80 +45,93 @@
 
 
 def encode(
-    keys: Mapping[int, bytes], key: int, head: tuple[str, str, str, int, int], message: Message
+    keys: Mapping[int, bytes], key: int, header: tuple[str, str, str, int, int], message: Message
 ) -> bytes:
     """``head``: group, sender, receiver ('' for an address whose name is not known), life, number."""
-    payload = msgspec.msgpack.encode((head, KINDS.index(type(message)), _plain(message)))
-    start = bytes((VERSION, key))
-    return start + hmac.digest(keys[key], start + payload, "sha256")[:MAC] + payload
+    payload = msgspec.msgpack.encode((header, MESSAGE_TYPES.index(type(message)), _to_fields(message)))
+    prefix = bytes((VERSION, key))
+    return prefix + hmac.digest(keys[key], prefix + payload, "sha256")[:MAC_BYTES] + payload
 
 
-def _plain(message: Any) -> list[Any]:
+def _to_fields(message: Any) -> list[Any]:
     if isinstance(message, Batch):
-        return [[KINDS.index(type(m)), _plain(m)] for m in message.messages]
+        return [[MESSAGE_TYPES.index(type(item)), _to_fields(item)] for item in message.messages]
     fields = list(type(message).__dataclass_fields__)
     return [
-        [[r.name, r.address, r.incarnation, r.state] for r in value] if name == "rumours" else value
-        for name, value in ((n, getattr(message, n)) for n in fields)
+        [[rumour.name, rumour.address, rumour.incarnation, rumour.state] for rumour in value]
+        if name == "rumours"
+        else value
+        for name, value in ((field_name, getattr(message, field_name)) for field_name in fields)
     ]
 
 
-def decode(keys: Mapping[int, bytes], data: bytes) -> tuple[Head, Message]:
+def decode(keys: Mapping[int, bytes], data: bytes) -> tuple[Header, Message]:
     """``GroupError`` on all that is not a whole message under one of the keys."""
-    if len(data) < 2 + MAC + 1 or len(data) > MAX_DATAGRAM:
+    if len(data) < 2 + MAC_BYTES + 1 or len(data) > MAX_DATAGRAM:
         raise GroupError("size")
     if data[0] != VERSION:
         raise GroupError("version")
     key = keys.get(data[1])
     if key is None:
         raise GroupError("key")
-    payload = data[2 + MAC :]
-    if not hmac.compare_digest(hmac.digest(key, data[:2] + payload, "sha256")[:MAC], data[2 : 2 + MAC]):
+    payload = data[2 + MAC_BYTES :]
+    if not hmac.compare_digest(
+        hmac.digest(key, data[:2] + payload, "sha256")[:MAC_BYTES], data[2 : 2 + MAC_BYTES]
+    ):
         raise GroupError("mac")
     try:
-        head, kind, fields = msgspec.msgpack.decode(payload)
-        group, sender, to, boot, number = head
-        _check((group, sender, to), (boot, number))
-        return (group, sender, to, boot, number), _message(KINDS[kind], fields)
-    except (msgspec.DecodeError, ValueError, TypeError, IndexError, KeyError) as wrong:
-        raise GroupError("form") from wrong
+        header, type_index, fields = msgspec.msgpack.decode(payload)
+        group, sender, receiver, boot, sequence = header
+        _check_values((group, sender, receiver), (boot, sequence))
+        return (group, sender, receiver, boot, sequence), _from_fields(MESSAGE_TYPES[type_index], fields)
+    except (msgspec.DecodeError, ValueError, TypeError, IndexError, KeyError) as error:
+        raise GroupError("form") from error
 
 
-def _check(texts: tuple[Any, ...], figures: tuple[Any, ...]) -> None:
-    if any(not isinstance(t, str) or len(t) > MOST_TEXT for t in texts):
+def _check_values(texts: tuple[Any, ...], integers: tuple[Any, ...]) -> None:
+    if any(not isinstance(text, str) or len(text) > MAX_TEXT_LENGTH for text in texts):
         raise ValueError("text")
-    if any(not isinstance(f, int) or isinstance(f, bool) or not 0 <= f < 1 << 63 for f in figures):
+    if any(
+        not isinstance(integer, int) or isinstance(integer, bool) or not 0 <= integer < 1 << 63
+        for integer in integers
+    ):
         raise ValueError("figure")
 
 
-def _message(kind: type[Any], fields: list[Any]) -> Message:
-    if kind is Batch:
-        if not 0 < len(fields) <= MOST_BATCHED or any(KINDS[k] not in BATCHED for k, _ in fields):
+def _from_fields(message_type: type[Any], fields: list[Any]) -> Message:
+    if message_type is Batch:
+        if not 0 < len(fields) <= MAX_BATCH_SIZE or any(
+            MESSAGE_TYPES[type_index] not in BATCHABLE_TYPES for type_index, _ in fields
+        ):
             raise ValueError("batch")
-        inner = [_message(KINDS[k], f) for k, f in fields]
-        return Batch(tuple(m for m in inner if isinstance(m, Ask | Reply | Release)))
-    names = list(kind.__dataclass_fields__)
-    if len(fields) != len(names):
+        messages = [
+            _from_fields(MESSAGE_TYPES[type_index], item_fields) for type_index, item_fields in fields
+        ]
+        return Batch(
+            tuple(message for message in messages if isinstance(message, AcquireRequest | Reply | Release))
+        )
+    field_names = list(message_type.__dataclass_fields__)
+    if len(fields) != len(field_names):
         raise ValueError("fields")
     values: dict[str, Any] = {}
-    for name, value in zip(names, fields, strict=True):
-        wanted = kind.__dataclass_fields__[name].type
+    for name, value in zip(field_names, fields, strict=True):
+        field_type = message_type.__dataclass_fields__[name].type
         if name == "rumours":
-            value = tuple(_rumour(r) for r in value)
-        elif wanted == "bool":
+            value = tuple(_rumour_from_fields(rumour) for rumour in value)
+        elif field_type == "bool":
             if not isinstance(value, bool):
                 raise ValueError(name)
-        elif wanted == "str":
-            _check((value,), ())
+        elif field_type == "str":
+            _check_values((value,), ())
         else:
-            _check((), (value,))
+            _check_values((), (value,))
         values[name] = value
-    return kind(**values)  # type: ignore[no-any-return]
+    return message_type(**values)  # type: ignore[no-any-return]
 
 
-def _rumour(fields: list[Any]) -> Rumour:
+def _rumour_from_fields(fields: list[Any]) -> Rumour:
     name, address, incarnation, state = fields
-    _check((name, address), (incarnation, state))
+    _check_values((name, address), (incarnation, state))
     if state > 3:
         raise ValueError("state")
     return Rumour(name, address, incarnation, state)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,113 +8,115 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from arrowrail.lab.simnet import MS, Clock, Net, S
-from arrowrail.membership.swim import ALIVE, DEAD, LEFT, SUSPECT, Ping, Rumour, Settings, Swim, Sync
+from arrowrail.lab.simnet import MS, S, SimClock, SimNetwork
+from arrowrail.membership.swim import ALIVE, DEAD, LEFT, SUSPECT, Ping, Rumour, Swim, SwimSettings, Sync
 
 
-class Group:
+class SimulatedGroup:
     def __init__(self, size: int, seed: int = 1) -> None:
-        self.net = Net(seed)
+        self.network = SimNetwork(seed)
         self.swims: dict[str, Swim] = {}
         self.names = [f"i{n}" for n in range(size)]
         self.seed = seed
         for name in self.names:
-            self.net.clocks[name] = Clock(
-                self.net.random.randrange(10**15), self.net.random.randint(-200, 200)
+            self.network.clocks[name] = SimClock(
+                self.network.random.randrange(10**15), self.network.random.randint(-200, 200)
             )
         for name in self.names:
             self.start(name)
 
     def start(self, name: str) -> None:
         self.seed += 1
-        swim = self.swims[name] = Swim(name, name, self.names[:2], self.net.clock(name), self.seed)
-        self.net.join(name, lambda _sender, message: self.receive(name, message))
-        self.net.at(self.net.now + self.net.random.randrange(100 * MS), lambda: self.tick(name, swim))
+        swim = self.swims[name] = Swim(name, name, self.names[:2], self.network.clock(name), self.seed)
+        self.network.attach(name, lambda _sender, message: self.receive(name, message))
+        self.network.schedule(
+            self.network.now + self.network.random.randrange(100 * MS), lambda: self.tick(name, swim)
+        )
 
     def tick(self, name: str, swim: Swim) -> None:
         if self.swims.get(name) is not swim:
             return
-        if self.net.clocks[name].stopped_at is None:
-            self.send(name, swim.tick(self.net.clock(name)))
-        self.net.at(self.net.now + 100 * MS, lambda: self.tick(name, swim))
+        if self.network.clocks[name].stopped_at is None:
+            self.send(name, swim.tick(self.network.clock(name)))
+        self.network.schedule(self.network.now + 100 * MS, lambda: self.tick(name, swim))
 
     def receive(self, name: str, message: object) -> None:
-        self.send(name, self.swims[name].receive(self.net.clock(name), message))  # type: ignore[arg-type]
+        self.send(name, self.swims[name].receive(self.network.clock(name), message))  # type: ignore[arg-type]
 
-    def send(self, name: str, out: object) -> None:
-        for to, message in out:  # type: ignore[attr-defined]
-            self.net.send(name, to, message)
+    def send(self, name: str, outgoing: object) -> None:
+        for to, message in outgoing:  # type: ignore[attr-defined]
+            self.network.send(name, to, message)
 
     def crash(self, name: str) -> None:
         del self.swims[name]
-        self.net.leave(name)
+        self.network.detach(name)
 
     def run(self, seconds: float) -> None:
-        self.net.run(self.net.now + int(seconds * S))
+        self.network.run(self.network.now + int(seconds * S))
 
     def views(self) -> set[tuple[str, ...]]:
-        return {tuple(swim.alive()) for swim in self.swims.values()}
+        return {tuple(swim.live_members()) for swim in self.swims.values()}
 
-    def agree(self, *without: str) -> bool:
-        return self.views() == {tuple(sorted(set(self.names) - set(without)))}
+    def agrees(self, *missing: str) -> bool:
+        return self.views() == {tuple(sorted(set(self.names) - set(missing)))}
 
 
 @pytest.mark.parametrize("size", [2, 5, 20])
 def test_a_group_finds_itself_from_its_seeds(size: int) -> None:
-    group = Group(size)
+    group = SimulatedGroup(size)
     group.run(25)
-    assert group.agree() and all(s.health == 0 for s in group.swims.values())
+    assert group.agrees() and all(s.health_score == 0 for s in group.swims.values())
 
 
 def test_a_crash_is_found_by_all_and_a_restart_under_the_same_name_comes_back() -> None:
-    group = Group(7)
+    group = SimulatedGroup(7)
     group.run(25)
     group.crash("i3")
     group.run(20)
-    assert group.agree("i3")
+    assert group.agrees("i3")
     group.start("i3")
     group.run(25)
-    assert group.agree() and group.swims["i3"].incarnation > 0
+    assert group.agrees() and group.swims["i3"].incarnation > 0
 
 
 def test_one_that_leaves_is_gone_at_once_and_nobody_suspected_it() -> None:
-    group = Group(5)
+    group = SimulatedGroup(5)
     group.run(25)
     group.send("i4", group.swims["i4"].leave())
     group.run(0.2)
     swim = group.swims.pop("i4")
-    group.net.leave("i4")
-    assert group.agree("i4") and swim.leave() == [] and swim.tick(0) == []
+    group.network.detach("i4")
+    assert group.agrees("i4") and swim.leave() == [] and swim.tick(0) == []
     assert all(s.suspicions == 0 and s.members["i4"].state == LEFT for s in group.swims.values())
 
 
 def test_one_that_hung_is_taken_for_dead_and_refutes_when_it_wakes() -> None:
-    group = Group(5)
+    group = SimulatedGroup(5)
     group.run(25)
-    group.net.clocks["i1"].stopped_at = group.net.now
+    group.network.clocks["i1"].stopped_at = group.network.now
     group.run(20)
-    assert all("i1" not in s.alive() for n, s in group.swims.items() if n != "i1")
-    group.net.clocks["i1"].stopped_at = None
+    assert all("i1" not in s.live_members() for n, s in group.swims.items() if n != "i1")
+    group.network.clocks["i1"].stopped_at = None
     group.run(30)
     # It judged nobody by what it missed, and the others have it back.
-    assert group.agree() and group.swims["i1"].suspicions == 0
+    assert group.agrees() and group.swims["i1"].suspicions == 0
 
 
 @pytest.mark.parametrize("both_ways", [True, False])
 def test_a_split_that_heals_ends_in_one_view(both_ways: bool) -> None:
-    group = Group(6, seed=3)
+    group = SimulatedGroup(6, seed=3)
     group.run(25)
-    group.net.faults.split({"i0", "i1"}, {"i2", "i3", "i4", "i5"}, both_ways)
+    group.network.faults.partition({"i0", "i1"}, {"i2", "i3", "i4", "i5"}, both_ways)
     group.run(40)
     if both_ways:
-        assert group.swims["i0"].alive() == ["i0", "i1"] and len(group.swims["i5"].alive()) == 4
-    group.net.faults.heal()
+        assert group.swims["i0"].live_members() == ["i0", "i1"] and len(group.swims["i5"].live_members()) == 4
+    group.network.faults.heal()
     group.run(60)
-    assert group.agree()
+    assert group.agrees()
 
 
 def test_half_the_group_restarted_within_a_second() -> None:
-    group = Group(8, seed=4)
+    group = SimulatedGroup(8, seed=4)
     group.run(25)
     for name in group.names[:4]:
         group.crash(name)
@@ -122,12 +124,12 @@
     for name in group.names[:4]:
         group.start(name)
     group.run(40)
-    assert group.agree()
+    assert group.agrees()
 
 
 def test_a_steady_hour_on_a_lossy_network_raises_no_false_alarm_that_lasts() -> None:
-    group = Group(5, seed=5)
-    group.net.faults.loss, group.net.faults.double = 0.02, 0.02
+    group = SimulatedGroup(5, seed=5)
+    group.network.faults.loss_rate, group.network.faults.duplicate_rate = 0.02, 0.02
     group.run(25)
     deaths = 0
     for _ in range(120):
@@ -135,7 +137,7 @@
         for swim in group.swims.values():
             deaths += sum(1 for c in swim.changes if c.state == DEAD)
             swim.changes.clear()
-    assert deaths == 0 and group.agree()
+    assert deaths == 0 and group.agrees()
 
 
 @settings(max_examples=30, deadline=None, derandomize=True)
@@ -145,34 +147,34 @@
 def test_after_any_history_all_who_run_agree_once_it_is_calm(
     seed: int, steps: list[tuple[str, int, float]]
 ) -> None:
-    group = Group(6, seed)
-    faults = group.net.faults
+    group = SimulatedGroup(6, seed)
+    faults = group.network.faults
     group.run(15)
-    for what, number, seconds in steps:
+    for action, number, seconds in steps:
         name = f"i{number}"
-        if what == "crash" and name in group.swims:
+        if action == "crash" and name in group.swims:
             group.crash(name)
-        elif what == "start" and name not in group.swims:
+        elif action == "start" and name not in group.swims:
             group.start(name)
-        elif what in ("stop", "go"):
-            group.net.clocks[name].stopped_at = group.net.now if what == "stop" else None
-        elif what in ("split", "oneway"):
-            faults.split({name}, set(group.names) - {name}, what == "split")
-        elif what == "heal":
+        elif action in ("stop", "go"):
+            group.network.clocks[name].stopped_at = group.network.now if action == "stop" else None
+        elif action in ("split", "oneway"):
+            faults.partition({name}, set(group.names) - {name}, action == "split")
+        elif action == "heal":
             faults.heal()
-        elif what == "lossy":
-            faults.loss = faults.double = 0.3
-        elif what == "late":
-            faults.late = 0.3
+        elif action == "lossy":
+            faults.loss_rate = faults.duplicate_rate = 0.3
+        elif action == "late":
+            faults.spike_rate = 0.3
         else:
-            faults.loss = faults.double = faults.late = 0.0
+            faults.loss_rate = faults.duplicate_rate = faults.spike_rate = 0.0
         group.run(seconds)
     faults.heal()
-    faults.loss = faults.double = faults.late = 0.0
-    for clock in group.net.clocks.values():
+    faults.loss_rate = faults.duplicate_rate = faults.spike_rate = 0.0
+    for clock in group.network.clocks.values():
         clock.stopped_at = None
     group.run(120)
-    assert group.agree(*(set(group.names) - group.swims.keys()))
+    assert group.agrees(*(set(group.names) - group.swims.keys()))
 
 
 # --- The order of what is known -------------------------------------------------------------------------
@@ -191,9 +193,9 @@
     shuffled = list(rumours)
     random.Random(seed).shuffle(shuffled)
     views = []
-    for order in (rumours, shuffled + shuffled):
+    for ordering in (rumours, shuffled + shuffled):
         swim = Swim("me", "m", [], 0, 1)
-        for rumour in [*first, *order]:
+        for rumour in [*first, *ordering]:
             swim.receive(0, Sync("z", "z", False, (rumour,)))
         views.append({n: m.rumour for n, m in swim.members.items()})
     assert views[0] == views[1]
@@ -202,23 +204,23 @@
 def test_a_rumour_of_one_s_own_death_is_refuted_and_a_suspect_hears_of_it_first() -> None:
     swim = Swim("me", "m", [], 0, 1)
     swim.receive(0, Sync("z", "z", False, (Rumour("me", "m", 4, DEAD),)))
-    assert swim.incarnation == 5 and swim.own().state == ALIVE
+    assert swim.incarnation == 5 and swim.own_rumour().state == ALIVE
     (answer,) = swim.receive(0, Ping(1, "z", "z"))
     assert Rumour("me", "m", 5, ALIVE) in answer[1].rumours
     swim.receive(0, Sync("z", "z", False, (Rumour("q", "q", 2, SUSPECT),)))
     for _ in range(40):
-        told = swim.receive(0, Ping(2, "q", "q"))[0][1].rumours
-        assert Rumour("q", "q", 2, SUSPECT) in told
+        rumours = swim.receive(0, Ping(2, "q", "q"))[0][1].rumours
+        assert Rumour("q", "q", 2, SUSPECT) in rumours
 
 
 def test_confirmations_shorten_a_suspicion_and_messages_stay_bounded() -> None:
-    swim = Swim("me", "m", [], 0, 1, Settings())
+    swim = Swim("me", "m", [], 0, 1, SwimSettings())
     everyone = tuple(Rumour(f"n{n}", f"n{n}", 0, ALIVE) for n in range(300))
     for at in range(0, 300, 10):
         swim.receive(0, Sync("n0", "n0", False, everyone[at : at + 10]))
     swim.receive(0, Sync("n1", "n1", False, (Rumour("n9", "n9", 0, SUSPECT),)))
-    alone = swim.members["n9"].dead_at
-    for by in ("n2", "n3", "n4"):
-        swim.receive(0, Sync(by, by, False, (Rumour("n9", "n9", 0, SUSPECT),)))
-    assert swim.members["n9"].dead_at < alone
+    alone = swim.members["n9"].declare_dead_at
+    for source in ("n2", "n3", "n4"):
+        swim.receive(0, Sync(source, source, False, (Rumour("n9", "n9", 0, SUSPECT),)))
+    assert swim.members["n9"].declare_dead_at < alone
     assert all(len(m.rumours) <= 17 for _, m in swim.tick(2 * S))
