--- a/arrowrail/group/runtime.py
+++ b/arrowrail/group/runtime.py
@@ -66,7 +66,7 @@
         )
         self.probes_started = 0
         self._closing = False
-        loop.deadlines.at(loop.now, self._tick)
+        loop.timers.schedule(loop.now, self._tick)
 
     def update_config(self, config: GroupConfig) -> None:
         self.config = config
@@ -81,15 +81,15 @@
         if self._closing:
             return
         self._apply(self.instance.tick(self.loop.now))
-        self.loop.deadlines.at(self.loop.now + TICK_NS, self._tick)
+        self.loop.timers.schedule(self.loop.now + TICK_NS, self._tick)
 
     def run_background(self, busy: bool) -> None:
         """Once a turn of the loop, after the calls."""
         if self.scheduler.jobs:
-            self.scheduler.run_turn(self.loop.now, time.monotonic_ns, busy)
+            self.scheduler.run_iteration(self.loop.now, time.monotonic_ns, busy)
             due = self.scheduler.next_due_at(self.loop.now)
             if due is not None:
-                self.loop.deadlines.at(max(due, self.loop.now + MS), lambda: None)
+                self.loop.timers.schedule(max(due, self.loop.now + MS), lambda: None)
 
     def _apply(self, effects: Effects) -> None:
         for run in effects.runs:
--- a/arrowrail/scheduling/scheduler.py
+++ b/arrowrail/scheduling/scheduler.py
@@ -27,8 +27,8 @@
 class Budgets:
     """What background work may take; the defaults leave a turn 2 ms later at the most."""
 
-    turn_ns: int = MS  # processor time of one turn
-    busy_turn_ns: int = MS // 4  # of a turn that also handled calls
+    iteration_ns: int = MS  # processor time of one turn
+    busy_iteration_ns: int = MS // 4  # of a turn that also handled calls
     slice_ns: int = MS  # a longer slice counts against its job
     share_ppm: int = 100_000  # of all processor time: a tenth
     burst_ns: int = 50 * MS  # saved up at most
@@ -95,14 +95,14 @@
     now: int
     jobs: dict[str, Job] = field(default_factory=dict)
     results: list[RunResult] = field(default_factory=list)
-    last_position: int = 0
+    last_queue_position: int = 0
     random: random.Random = field(init=False)
     cpu_bucket: CpuBucket = field(init=False)
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
         budgets = self.budgets
-        self.cpu_bucket = CpuBucket(budgets.share_ppm, budgets.burst_ns, self.now, budgets.turn_ns)
+        self.cpu_bucket = CpuBucket(budgets.share_ppm, budgets.burst_ns, self.now, budgets.iteration_ns)
 
     # --- What there is to do ----------------------------------------------------------------------------
 
@@ -140,13 +140,13 @@
 
     # --- One turn ---------------------------------------------------------------------------------------
 
-    def run_turn(self, now: int, clock: Callable[[], int], busy: bool) -> int:
+    def run_iteration(self, now: int, clock: Callable[[], int], busy: bool) -> int:
         """Run what is due within the turn's budget; returns the processor time used.
 
         ``clock`` is read after each slice only; ``busy``: the turn handled calls, which go first.
         """
         self.cpu_bucket.fill(now)
-        budget_ns = self.budgets.busy_turn_ns if busy else self.budgets.turn_ns
+        budget_ns = self.budgets.busy_iteration_ns if busy else self.budgets.iteration_ns
         used_ns, last_read = 0, clock()
         while budget_ns > used_ns and self.cpu_bucket.available_ns > 0:
             job = self._pick_job(now, busy)
@@ -207,8 +207,8 @@
         else:
             # Behind the others of its priority: no long run keeps them waiting.
             job.not_before = max(job.not_before, now)
-            self.last_position += 1
-            job.due_at, job.queue_position = now, self.last_position
+            self.last_queue_position += 1
+            job.due_at, job.queue_position = now, self.last_queue_position
 
     def _finish_run(self, job: Job, outcome: str) -> None:
         generator, job.generator = job.generator, None
--- a/arrowrail/sidecar/admission.py
+++ b/arrowrail/sidecar/admission.py
@@ -5,65 +5,72 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
-from arrowrail.core.requests import LINK_BROKE, NO_ROUTE, OVER_LIMIT, REFUSED, Answer, Offer
+from arrowrail.core.requests import (
+    CAUSE_CONNECTION_FAILED,
+    NO_ROUTE,
+    OVER_LIMIT,
+    REFUSED,
+    FinalResponse,
+    SetUpParams,
+)
 from arrowrail.limits.limiter import Limiter
-from arrowrail.pools.book import Allowed, Book
+from arrowrail.pools.route_table import RouteAvailability, RouteTable
 from arrowrail.sidecar.compile import Compiled
 from arrowrail.sidecar.listing import SOURCE, Listing
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, Endpoint, EndpointEntry
-from trackhatch import interface as i
+from trackhatch import interface
 
 NO_NEWS = ("not_sent", "no_answer", "called_off")  # outcomes that prove nothing of the way to an exchange
 BY_USE = (IN_SERVICE, TERMINATING, TERMINATED)  # of several machines of an exchange, the first counts
 PROOF_NS = 5_000_000_000  # how long an answer to a call of ours outweighs what probes say
-NO_WAY = Answer(REFUSED, outcome=NO_ROUTE)
+NO_WAY = FinalResponse(REFUSED, outcome=NO_ROUTE)
 
 
 class RecordsAdmission:
     def __init__(self, compiled: Compiled, now: int) -> None:
         self.compiled = compiled
         self.limiter = Limiter(compiled.limits, now)
-        self.book = Book(compiled.pools)
+        self.route_table = RouteTable(compiled.pools)
         self.listing = Listing()
         self.refused: dict[str, int] = {}  # by reason, for operators
         self._proved: dict[int, int] = {}  # by exchange: when a call of ours last got an answer there
         self._offices: dict[int, dict[int, str]] = {}  # by exchange: the state of each machine there
 
-    def use(self, compiled: Compiled, now: int) -> tuple[list[EndpointEntry], list[i.PoolNews]]:
+    def use(self, compiled: Compiled, now: int) -> tuple[list[EndpointEntry], list[interface.PoolUpdate]]:
         """A reload: what is open goes on under what it began with; the news is for what comes."""
         self.compiled = compiled
-        self.limiter.use(compiled.limits, now)
-        news = _news(self.book.use(compiled.pools))
+        self.limiter.update_config(compiled.limits, now)
+        news = _news(self.route_table.update_config(compiled.pools))
         return self.listing.use(compiled.lines), news
 
     # --- The core's questions ---------------------------------------------------------------------------
 
-    def carries(self, class_name: str) -> bool:
+    def supports_class(self, class_name: str) -> bool:
         return class_name in self.compiled.classes
 
-    def enter(self, now: int, line: object, offer: Offer) -> tuple[Offer, Answer | None]:
+    def admit(self, now: int, line: object, offer: SetUpParams) -> tuple[SetUpParams, FinalResponse | None]:
         facts = self.compiled.classes.get(offer.class_name)
-        placed = self.book.place(offer.class_name, offer.number, offer.district)
-        if facts is None or placed.why_not:
-            self._count(placed.why_not or "class not carried")
+        routing = self.route_table.route_call(offer.class_name, offer.called_number, offer.district)
+        if facts is None or routing.failure_reason:
+            self._count(routing.failure_reason or "class not carried")
             return offer, NO_WAY
-        verdict = self.limiter.ask(now, offer.class_name, line)
-        if not verdict.admitted:
-            self._count(verdict.reason)
-            return offer, Answer(REFUSED, stay_away_ns=verdict.wait_ns, outcome=OVER_LIMIT)
+        result = self.limiter.admit(now, offer.class_name, line)
+        if not result.admitted:
+            self._count(result.reason)
+            return offer, FinalResponse(REFUSED, retry_after_ns=result.retry_after_ns, outcome=OVER_LIMIT)
         deadline = min(offer.deadline_ns, now + facts.give_up_ns)
         return replace(
-            offer, route=placed.route, destination=placed.exchange, width=facts.width, deadline_ns=deadline
+            offer, route=routing.route, destination=routing.exchange, width=facts.width, deadline_ns=deadline
         ), None
 
-    def settled(self, now: int, line: object, offer: Offer, took_ns: int) -> None:
-        self.limiter.ended(now, offer.class_name, line, took_ns)
+    def set_up_finished(self, now: int, line: object, offer: SetUpParams, took_ns: int) -> None:
+        self.limiter.setup_ended(now, offer.class_name, line, took_ns)
 
-    def time_out_ns(self, offer: Offer) -> int:
+    def attempt_timeout_ns(self, offer: SetUpParams) -> int:
         facts = self.compiled.classes.get(offer.class_name)
         return facts.time_out_ns if facts is not None else 0
 
-    def listed(
+    def filter_entries(
         self, source: str, whole: bool, lines: Iterable[EndpointEntry]
     ) -> tuple[str, bool, list[EndpointEntry]]:
         """What any source tells takes effect through the listing, in its words."""
@@ -71,42 +78,44 @@
             return SOURCE, False, list(lines)
         return SOURCE, False, self.listing.heard(whole, lines)
 
-    def told(self, desks: Iterable[Endpoint]) -> list[i.PoolNews]:
+    def endpoints_changed(self, desks: Iterable[Endpoint]) -> list[interface.PoolUpdate]:
         """An exchange is in use while any machine of it is in service: the old one may drain beside it."""
         changed = set()
         for desk in desks:
-            machines = self._offices.setdefault(desk.told.exchange, {})
-            machines[desk.office] = desk.told.state
-            if desk.told.state == TERMINATED and len(machines) > 1:
-                del machines[desk.office]
-            changed.add(desk.told.exchange)
+            machines = self._offices.setdefault(desk.entry.exchange, {})
+            machines[desk.endpoint_id] = desk.entry.state
+            if desk.entry.state == TERMINATED and len(machines) > 1:
+                del machines[desk.endpoint_id]
+            changed.add(desk.entry.exchange)
         states = []
         for exchange in sorted(changed):
             known = set(self._offices[exchange].values())
             states.append((exchange, next(s for s in BY_USE if s in known)))
-        return _news(self.book.told(states))
+        return _news(self.route_table.update_states(states))
 
-    def attempt_over(self, now: int, desk: Endpoint, outcome: str, cause: int) -> list[i.PoolNews]:
+    def attempt_ended(self, now: int, desk: Endpoint, outcome: str, cause: int) -> list[interface.PoolUpdate]:
         if outcome == "no_connection":
-            return _news(self.book.missed(now, desk.told.exchange))
-        if outcome in NO_NEWS or cause == LINK_BROKE:
+            return _news(self.route_table.record_connect_failure(now, desk.entry.exchange))
+        if outcome in NO_NEWS or cause == CAUSE_CONNECTION_FAILED:
             return []
-        self._proved[desk.told.exchange] = now
-        return _news(self.book.heard(desk.told.exchange))
+        self._proved[desk.entry.exchange] = now
+        return _news(self.route_table.record_answer(desk.entry.exchange))
 
-    def doubted(self, now: int, exchanges: Iterable[int]) -> list[i.PoolNews]:
+    def doubted(self, now: int, exchanges: Iterable[int]) -> list[interface.PoolUpdate]:
         """Exchanges that others' probes found silent; where our own calls are answered, those know better."""
         lately = now - PROOF_NS
-        return _news(self.book.doubted(e for e in exchanges if self._proved.get(e, 0) < lately))
+        return _news(
+            self.route_table.set_probe_failures(e for e in exchanges if self._proved.get(e, 0) < lately)
+        )
 
     # --- Now and then -----------------------------------------------------------------------------------
 
-    def due(self, now: int) -> list[i.PoolNews]:
-        return _news(self.book.due(now))
+    def due(self, now: int) -> list[interface.PoolUpdate]:
+        return _news(self.route_table.start_due_trials(now))
 
     def _count(self, reason: str) -> None:
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
 
-def _news(changed: Mapping[str, Allowed]) -> list[i.PoolNews]:
-    return [i.PoolNews(route, allowed.exchanges) for route, allowed in changed.items()]
+def _news(changed: Mapping[str, RouteAvailability]) -> list[interface.PoolUpdate]:
+    return [interface.PoolUpdate(route, availability.exchanges) for route, availability in changed.items()]
--- a/arrowrail/wire/etcd/client.py
+++ b/arrowrail/wire/etcd/client.py
@@ -10,10 +10,10 @@
 from arrowrail.core.engine import Core
 from arrowrail.core.requests import MS
 from arrowrail.loop import Loop
-from arrowrail.state.deadlines import Deadline
+from arrowrail.state.timers import Timer
 from arrowrail.wire.etcd import messages as etcd
 from arrowrail.wire.http import BodyParser, HttpError
-from arrowrail.wire.reconnect import FIRST_PAUSE_NS, LONGEST_PAUSE_NS
+from arrowrail.wire.reconnect import MAX_BACKOFF_NS, MIN_BACKOFF_NS
 from arrowrail.wire.stream import Stream, connect
 
 RANGE_NS = 5_000 * MS  # how long the range may take
@@ -26,12 +26,12 @@
 
     def __init__(self, loop: Loop, core: Core, address: str, prefix: str) -> None:
         self.loop, self.core, self.address, self.prefix = loop, core, address, prefix
-        self.pause_ns = FIRST_PAUSE_NS
+        self.pause_ns = MIN_BACKOFF_NS
         self.stream: Stream | None = None
         self._http = BodyParser()
         self._body = bytearray()
         self._watch: etcd.WatchParser | None = None
-        self._quiet: Deadline | None = None
+        self._quiet: Timer | None = None
         self._watched_since = 0
 
     def start(self) -> None:
@@ -39,7 +39,7 @@
         try:
             self.stream = connect(self.loop, self, self.address)
         except OSError as why:  # no descriptor left
-            self.loop.deadlines.at(self.loop.now, partial(self.lost, why))
+            self.loop.timers.schedule(self.loop.now, partial(self.lost, why))
             return
         self.stream.send(etcd.range_request(self.address, self.prefix))
         self._expect(RANGE_NS)
@@ -48,7 +48,7 @@
         """Read on elsewhere: the range there tells what differs."""
         if (address, prefix) == (self.address, self.prefix):
             return
-        self.address, self.prefix, self.pause_ns = address, prefix, FIRST_PAUSE_NS
+        self.address, self.prefix, self.pause_ns = address, prefix, MIN_BACKOFF_NS
         if self.stream is not None:  # else the next try is due soon, and goes to the new address
             self._cut(None)
 
@@ -63,7 +63,7 @@
             else:
                 self._expect(SILENCE_NS)
                 for news in self._watch.feed(body):
-                    self.core.list_news(SOURCE, False, news.lines)
+                    self.core.update_endpoints(SOURCE, False, news.lines)
         except (HttpError, etcd.EtcdError) as wrong:
             logger.warning("etcd: {}", wrong)
             self._cut(OSError(errno.EPROTO, str(wrong)))
@@ -78,7 +78,7 @@
         if not self._http.complete or self.stream is None:
             return
         news = etcd.read_range(bytes(self._body))
-        self.core.list_news(SOURCE, True, news.lines)
+        self.core.update_endpoints(SOURCE, True, news.lines)
         self._watched_since = self.loop.now
         self._http, self._watch = BodyParser(), etcd.WatchParser(self.prefix)
         self.stream.send(etcd.watch_request(self.address, self.prefix, news.revision + 1))
@@ -88,7 +88,7 @@
         if self._quiet is not None:
             self._quiet.cancel()
         late = OSError(errno.ETIMEDOUT, "silent")
-        self._quiet = self.loop.deadlines.at(self.loop.now + within_ns, lambda: self._cut(late))
+        self._quiet = self.loop.timers.schedule(self.loop.now + within_ns, lambda: self._cut(late))
 
     def _cut(self, why: OSError | None) -> None:
         if self.stream is not None:
@@ -99,7 +99,7 @@
         if self._quiet is not None:
             self._quiet.cancel()
         # Guards against hammering a gateway that answers the range and ends each watch at once.
-        if self._watch is not None and self.loop.now - self._watched_since > LONGEST_PAUSE_NS:
-            self.pause_ns = FIRST_PAUSE_NS
-        self.loop.deadlines.at(self.loop.now + self.pause_ns, self.start)
-        self.pause_ns = min(2 * self.pause_ns, LONGEST_PAUSE_NS)
+        if self._watch is not None and self.loop.now - self._watched_since > MAX_BACKOFF_NS:
+            self.pause_ns = MIN_BACKOFF_NS
+        self.loop.timers.schedule(self.loop.now + self.pause_ns, self.start)
+        self.pause_ns = min(2 * self.pause_ns, MAX_BACKOFF_NS)
--- a/arrowrail/wire/group/transport.py
+++ b/arrowrail/wire/group/transport.py
@@ -9,7 +9,9 @@
 from arrowrail.state.address import parse_address
 from arrowrail.wire.group.messages import MAX_DATAGRAM
 
-MAX_DATAGRAMS_PER_TURN = 64  # datagrams read in one turn: the rest waits in the kernel, and calls go first
+MAX_DATAGRAMS_PER_ITERATION = (
+    64  # datagrams read in one turn: the rest waits in the kernel, and calls go first
+)
 RECEIVE_BUFFER_BYTES = 256 * 1024
 
 
@@ -42,7 +44,7 @@
             self.unsent += 1
 
     def _on_readable(self, _mask: int) -> None:
-        for _ in range(MAX_DATAGRAMS_PER_TURN):
+        for _ in range(MAX_DATAGRAMS_PER_ITERATION):
             try:
                 data = self.sock.recv(MAX_DATAGRAM + 1)
             except OSError:  # nothing more, or a peer's port that is closed
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -161,7 +161,7 @@
     assert outcomes == []  # nothing is safe before the loop has heard of it
     end = time.monotonic() + 10
     while len(outcomes) < 5 and time.monotonic() < end:
-        loop.turn()
+        loop.run_once()
     assert outcomes == [True] * 5 and load_promises(path) == {"d": Promise(4, "a", 0, 7)}
     writer.close()
     path.write_bytes(b"spoilt")
@@ -173,7 +173,7 @@
     writer = FileWriter(loop, tmp_path / "no" / "folder")
     writer.write(b"x", outcomes.append)
     while not outcomes:
-        loop.turn()
+        loop.run_once()
     assert outcomes == [False] and writer.last_error
     writer.close()
 
@@ -184,7 +184,7 @@
     assert stat.S_IMODE(os.stat(path).st_mode) == 0o600
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(path)
-        loop.turn()
+        loop.run_once()
         sock.settimeout(5)
         assert sock.recv(100) == b'{"group":"g"}\n'
     control.close()
@@ -211,8 +211,8 @@
         groups[-1].set_duties(["a", "b", "c", "d"])
     end = time.monotonic() + 30
     while {run.duty for _, run in runs if run.number >= 2} != set("abcd") and time.monotonic() < end:
-        loop.deadlines.at(loop.now + 20 * MS, lambda: None)
-        loop.turn()
+        loop.timers.schedule(loop.now + 20 * MS, lambda: None)
+        loop.run_once()
         for group in groups:
             group.run_background(False)
     epochs: dict[tuple[str, int], str] = {}
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -48,16 +48,16 @@
     def spec(self, name: str, slices: int = 1, elapsed_ns: int = MS // 10, **options: int) -> JobSpec:
         return JobSpec(name, lambda: self.work(name, slices, elapsed_ns), **options)
 
-    def run_turn(self, advance_ns: int = 10 * MS, busy: bool = False) -> int:
+    def run_iteration(self, advance_ns: int = 10 * MS, busy: bool = False) -> int:
         self.now += advance_ns
-        return self.scheduler.run_turn(self.now, lambda: self.now, busy)
+        return self.scheduler.run_iteration(self.now, lambda: self.now, busy)
 
 
 def test_the_most_urgent_goes_first_and_equals_in_the_order_of_waiting() -> None:
     machine = SimulatedMachine()
     for name, priority in (("idle", IDLE), ("b", NORMAL), ("urgent", URGENT)):
         machine.scheduler.submit(machine.spec(name, priority=priority), machine.now)
-    machine.run_turn()
+    machine.run_iteration()
     assert (
         machine.slices_run == ["urgent", "b", "idle"]
         and [result.outcome for result in machine.scheduler.results] == [DONE] * 3
@@ -65,10 +65,10 @@
 
 
 def test_runs_of_equal_priority_take_turns() -> None:
-    machine = SimulatedMachine(turn_ns=10 * MS)
+    machine = SimulatedMachine(iteration_ns=10 * MS)
     for name in "ab":
         machine.scheduler.submit(machine.spec(name, slices=3), machine.now)
-    machine.run_turn()
+    machine.run_iteration()
     assert Counter(machine.slices_run[:4]) == {"a": 2, "b": 2}
 
 
@@ -77,16 +77,16 @@
     machine = SimulatedMachine(burst_ns=S, share_ppm=1_000_000)
     machine.scheduler.submit(machine.spec("long", slices=10_000, elapsed_ns=MS // 2), machine.now)
     for _ in range(50):
-        assert machine.run_turn(busy=busy) <= limit
+        assert machine.run_iteration(busy=busy) <= limit
     assert len(machine.slices_run) >= 50
 
 
 def test_idle_work_waits_while_calls_are_handled() -> None:
     machine = SimulatedMachine()
     machine.scheduler.submit(machine.spec("idle", priority=IDLE), machine.now)
-    machine.run_turn(busy=True)
+    machine.run_iteration(busy=True)
     assert machine.slices_run == []
-    machine.run_turn()
+    machine.run_iteration()
     assert machine.slices_run == ["idle"]
 
 
@@ -96,7 +96,7 @@
         machine.scheduler.submit(machine.spec(name, slices=10**6, elapsed_ns=MS // 2), machine.now)
     started_at, used = machine.now, 0
     for _ in range(3000):
-        used += machine.run_turn(advance_ns=MS)
+        used += machine.run_iteration(advance_ns=MS)
     assert 0.08 <= used / (machine.now - started_at) <= 0.11
 
 
@@ -105,7 +105,7 @@
     machine.scheduler.submit(machine.spec("slow", slices=100, elapsed_ns=20 * MS), machine.now)
     machine.scheduler.submit(machine.spec("quick", slices=30), machine.now)
     for _ in range(400):
-        machine.run_turn()
+        machine.run_iteration()
     assert {result.name: result.outcome for result in machine.scheduler.results} == {
         "slow": ABORTED,
         "quick": DONE,
@@ -126,7 +126,7 @@
     machine.scheduler.submit(JobSpec("fails", failing_slices), machine.now)
     machine.scheduler.submit(machine.spec("good", slices=3), machine.now)
     for _ in range(20):
-        machine.run_turn()
+        machine.run_iteration()
     assert {result.name: result.outcome for result in machine.scheduler.results} == {
         "late": DEADLINE_EXCEEDED,
         "fails": FAILED,
@@ -138,7 +138,7 @@
     machine = SimulatedMachine()
     machine.scheduler.submit(machine.spec("probes", slices=1000, rate_milli=20_000), machine.now)
     for _ in range(200):
-        machine.run_turn()
+        machine.run_iteration()
     assert 30 <= len(machine.slices_run) <= 42
 
 
@@ -149,7 +149,7 @@
     runs: list[int] = []
     while machine.now < started_at + 60 * S:
         before = len(machine.slices_run)
-        machine.run_turn()
+        machine.run_iteration()
         if len(machine.slices_run) > before:
             runs.append(machine.now)
     assert 59 <= len(runs) <= 61
@@ -160,13 +160,13 @@
 def test_after_a_long_stop_a_period_is_run_once_not_made_up_for() -> None:
     machine = SimulatedMachine()
     machine.scheduler.add_periodic(machine.spec("probe", period_ns=S), machine.now)
-    machine.run_turn(advance_ns=30 * S)
-    machine.run_turn()
+    machine.run_iteration(advance_ns=30 * S)
+    machine.run_iteration()
     assert machine.slices_run == ["probe"]
 
 
 def test_cancelled_work_is_closed_where_it_stands() -> None:
-    machine, closed = SimulatedMachine(turn_ns=1), list[str]()
+    machine, closed = SimulatedMachine(iteration_ns=1), list[str]()
 
     def work() -> Generator[None, None, None]:
         try:
@@ -178,7 +178,7 @@
 
     machine.scheduler.submit(JobSpec("probe", work), machine.now)
     assert not machine.scheduler.submit(JobSpec("probe", work), machine.now)
-    machine.run_turn()
+    machine.run_iteration()
     assert machine.scheduler.cancel("probe") and closed == ["closed"]
     assert [result.outcome for result in machine.scheduler.results] == [
         CANCELLED
@@ -209,9 +209,9 @@
         machine.scheduler.submit(
             machine.spec(str(n), slices, tenths * MS // 10, priority=priority), machine.now
         )
-    for turn in range(20_000):
+    for iteration in range(20_000):
         longest = max(tenths for _, tenths, _ in work) * MS // 10
-        assert machine.run_turn(busy=busy and turn % 2 == 0) <= MS + longest
+        assert machine.run_iteration(busy=busy and iteration % 2 == 0) <= MS + longest
         if not machine.scheduler.jobs:
             break
     assert sorted(result.name for result in machine.scheduler.results) == sorted(map(str, range(len(work))))
