--- a/arrowrail/lab/soak/variants.py
+++ b/arrowrail/lab/soak/variants.py
@@ -63,7 +63,7 @@
 
 def _without_told() -> None:
     """Discovery is not asked again after a call to it has failed."""
-    setattr(BusClient, "_later", lambda self: None)  # noqa: B010
+    setattr(BusClient, "_schedule_reconnect", lambda self: None)  # noqa: B010
 
 
 GUARDS: dict[str, Callable[[], None]] = {
--- a/arrowrail/run/config.py
+++ b/arrowrail/run/config.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from arrowrail.wire.bus.messages import BusEvent, event_of
+from arrowrail.wire.bus.messages import BusEvent, event_from_json
 from trackhatch.interface import Settings
 from trackhatch.simhost import read_settings
 
@@ -38,7 +38,7 @@
             seed=int(str(raw.get("seed", "0")), 16),
             sockets=int((raw.get("limits") or {}).get("sockets", 1024)),
             bus=str(raw.get("bus", "")),
-            known=tuple(event_of(e) for e in known.get("batch") or ()),
+            known=tuple(event_from_json(e) for e in known.get("batch") or ()),
             offset=int(known.get("offset", 0)),
             settings=read_settings(raw["settings"]),
             connect_timeout_ns=int(limits.get("connect-timeout-ns", 500_000_000)),
--- a/arrowrail/run/extras.py
+++ b/arrowrail/run/extras.py
@@ -10,10 +10,10 @@
 from arrowrail.run.config import Config
 from arrowrail.state.endpoints import IN_SERVICE, EndpointEntry
 from arrowrail.wire.etcd.client import EtcdClient
-from arrowrail.wire.m3ua.back import M3uaBack
-from arrowrail.wire.m3ua.front import M3uaFront
-from arrowrail.wire.m3ua.link import M3uaSettings
-from arrowrail.wire.m3ua.rules import ClassRule, NumberRule
+from arrowrail.wire.m3ua.association import M3uaSettings
+from arrowrail.wire.m3ua.backend import M3uaBackend
+from arrowrail.wire.m3ua.frontend import M3uaFrontend
+from arrowrail.wire.m3ua.mappings import ClassMapping, PrefixMapping
 
 SOURCE = "operator"
 
@@ -24,15 +24,15 @@
     def __init__(self, loop: Loop, core: Core, config: Config, operator: Controller) -> None:
         self.core, self.config, self.operator = core, config, operator
         m = operator.m3ua
-        self.front: M3uaFront | None = None
+        self.front: M3uaFrontend | None = None
         self.etcd: EtcdClient | None = None
         if m.enabled:
             settings = M3uaSettings(m.point_code, m.routing_context, m.network_appearance, m.heartbeat)
-            self.back = M3uaBack(
+            self.back = M3uaBackend(
                 loop, core, settings, self._classes(m), m.circuits, config.connect_timeout_ns
             )
             core.update_endpoints(SOURCE, True, _desks(m))
-            self.front = M3uaFront(loop, core, m.listen, settings, self._classes(m), _numbers(m))
+            self.front = M3uaFrontend(loop, core, m.listen, settings, self._classes(m), _numbers(m))
             self.front.start()
         if operator.etcd.enabled:
             self.etcd = EtcdClient(loop, core, operator.etcd.address, operator.etcd.prefix)
@@ -45,18 +45,18 @@
         """
         if self.front is not None and operator.m3ua.enabled:
             self.core.update_endpoints(SOURCE, True, _desks(operator.m3ua))
-            self.back.use(self._classes(operator.m3ua))
-            self.front.use(self._classes(operator.m3ua), _numbers(operator.m3ua))
+            self.back.update_mappings(self._classes(operator.m3ua))
+            self.front.update_mappings(self._classes(operator.m3ua), _numbers(operator.m3ua))
         if self.etcd is not None and operator.etcd.enabled:
-            self.etcd.move(operator.etcd.address, operator.etcd.prefix)
+            self.etcd.change_source(operator.etcd.address, operator.etcd.prefix)
         if _fixed(operator) != _fixed(self.operator):
             logger.warning("reload: a changed listen, point code or switch needs a restart")
         self.operator = operator
 
-    def _classes(self, m: ControllerM3ua) -> tuple[ClassRule, ...]:
+    def _classes(self, m: ControllerM3ua) -> tuple[ClassMapping, ...]:
         widths = {c.name: c.width for c in self.config.settings.classes}
         return tuple(
-            ClassRule(c.class_, c.deadline, widths[c.class_], c.category, c.requirement) for c in m.classes
+            ClassMapping(c.class_, c.deadline, widths[c.class_], c.category, c.requirement) for c in m.classes
         )
 
 
@@ -75,5 +75,5 @@
     ]
 
 
-def _numbers(m: ControllerM3ua) -> tuple[NumberRule, ...]:
-    return tuple(NumberRule(n.prefix, n.exchange) for n in m.numbers)
+def _numbers(m: ControllerM3ua) -> tuple[PrefixMapping, ...]:
+    return tuple(PrefixMapping(n.prefix, n.exchange) for n in m.numbers)
--- a/arrowrail/run/main.py
+++ b/arrowrail/run/main.py
@@ -77,7 +77,7 @@
             logger.warning("reload: only bus and limits.sockets are taken up; the rest needs a restart")
         self.config = replace(self.config, bus=config.bus, sockets=config.sockets)
         self.front.max_sockets = config.sockets
-        self.bus.move(config.bus)
+        self.bus.change_address(config.bus)
         if self.extras is not None and operator is not None:
             self.extras.reload(operator)
             log_to(operator.log.level, operator.log.form)
--- a/arrowrail/sidecar/main.py
+++ b/arrowrail/sidecar/main.py
@@ -28,7 +28,7 @@
 
     from arrowrail.group.instance import DutyRun
     from arrowrail.group.runtime import GroupRuntime
-    from arrowrail.wire.m3ua.rules import ClassRule
+    from arrowrail.wire.m3ua.mappings import ClassMapping
 
 GOOD, FAULTS, NO_PORT = 0, 1, 3
 TICK_NS = 250 * MS
@@ -204,39 +204,39 @@
     """The M3UA-style front and back, where the records ask for them."""
 
     def __init__(self, program: Program, c: Compiled) -> None:
-        from arrowrail.wire.m3ua.back import M3uaBack
-        from arrowrail.wire.m3ua.front import M3uaFront
-        from arrowrail.wire.m3ua.link import M3uaSettings
-        from arrowrail.wire.m3ua.rules import NumberRule
+        from arrowrail.wire.m3ua.association import M3uaSettings
+        from arrowrail.wire.m3ua.backend import M3uaBackend
+        from arrowrail.wire.m3ua.frontend import M3uaFrontend
+        from arrowrail.wire.m3ua.mappings import PrefixMapping
 
         links = c.links
         settings = M3uaSettings(
             links.point_code, links.routing_context, links.network_appearance, links.heartbeat_ns
         )
         circuits = max((line.circuits for line in c.lines), default=1)
-        self._any = (NumberRule("", -1),)  # the admission controller knows where a number leads
-        self.back = M3uaBack(
+        self._any = (PrefixMapping("", -1),)  # the admission controller knows where a number leads
+        self.back = M3uaBackend(
             program.loop, program.core, settings, _rules(c), circuits, links.connect_time_out_ns
         )
-        self.front: M3uaFront | None = None
+        self.front: M3uaFrontend | None = None
         if links.m3ua:
-            self.front = M3uaFront(program.loop, program.core, links.m3ua, settings, _rules(c), self._any)
+            self.front = M3uaFrontend(program.loop, program.core, links.m3ua, settings, _rules(c), self._any)
 
     def start(self) -> None:
         if self.front is not None:
             self.front.start()
 
     def use(self, c: Compiled) -> None:
-        self.back.use(_rules(c))
+        self.back.update_mappings(_rules(c))
         if self.front is not None:
-            self.front.use(_rules(c), self._any)
+            self.front.update_mappings(_rules(c), self._any)
 
 
-def _rules(c: Compiled) -> tuple[ClassRule, ...]:
-    from arrowrail.wire.m3ua.rules import ClassRule
+def _rules(c: Compiled) -> tuple[ClassMapping, ...]:
+    from arrowrail.wire.m3ua.mappings import ClassMapping
 
     return tuple(
-        ClassRule(f.name, f.give_up_ns, f.width, f.category, f.requirement) for f in c.classes.values()
+        ClassMapping(f.name, f.give_up_ns, f.width, f.category, f.requirement) for f in c.classes.values()
     )
 
 
--- a/arrowrail/wire/bus/client.py
+++ b/arrowrail/wire/bus/client.py
@@ -16,8 +16,8 @@
 from arrowrail.wire.stream import Stream, connect
 
 # News counts as told 2 s after a break, 4 s after the stream stops: both hold with several tries to spare.
-FIRST_PAUSE_NS, LONGEST_PAUSE_NS = 50 * MS, 250 * MS
-SILENCE_NS = 2_500 * MS  # a comment comes each second: after two missed ones the stream is dead
+MIN_BACKOFF_NS, MAX_BACKOFF_NS = 50 * MS, 250 * MS
+SILENCE_TIMEOUT_NS = 2_500 * MS  # a comment comes each second: after two missed ones the stream is dead
 CONNECT_NS = 1_000 * MS
 SOURCE = "bus"
 
@@ -26,7 +26,7 @@
     def __init__(self, loop: Loop, core: Core, address: str) -> None:
         self.loop, self.core, self.address = loop, core, address
         self.last = 0
-        self.pause_ns = FIRST_PAUSE_NS
+        self.pause_ns = MIN_BACKOFF_NS
         self.stream: Stream | None = None
         self.parser = StreamParser()
         self.silence: Timer | None = None
@@ -42,11 +42,11 @@
         if self.address:  # absent where the list comes from elsewhere, or is fixed
             self.open()
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Go on reading at another address, from the last number held: the numbers continue there."""
         if address == self.address:
             return
-        self.address, self.pause_ns = address, FIRST_PAUSE_NS
+        self.address, self.pause_ns = address, MIN_BACKOFF_NS
         for deadline in (self.silence, self.again):
             if deadline is not None:
                 deadline.cancel()
@@ -62,7 +62,7 @@
             self.stream = connect(self.loop, self, self.address)
         except (OSError, ValueError) as why:  # no descriptor left, or no address
             logger.warning("event bus: {}", why)
-            self._later()
+            self._schedule_reconnect()
             return
         self.stream.send(get(self.address, self.last))
         self._heard(CONNECT_NS)
@@ -92,7 +92,7 @@
                 return
             self._take(event)
         if events:
-            self.pause_ns = FIRST_PAUSE_NS
+            self.pause_ns = MIN_BACKOFF_NS
         if self.parser.complete:
             self._cut(None)
 
@@ -101,14 +101,14 @@
             return  # held already
         self.last = event.offset
         self.core.metrics.count("discovery.events")
-        self.core.update_endpoints(SOURCE, event.whole, event.lines)
+        self.core.update_endpoints(SOURCE, event.snapshot, event.entries)
 
     def _heard(self, next_within_ns: int = 0) -> None:
         if self.silence is not None:
             self.silence.cancel()
         late = OSError(errno.ETIMEDOUT, "silent")
         self.silence = self.loop.timers.schedule(
-            self.loop.now + (next_within_ns or SILENCE_NS), lambda: self._cut(late)
+            self.loop.now + (next_within_ns or SILENCE_TIMEOUT_NS), lambda: self._cut(late)
         )
 
     def _cut(self, why: OSError | None) -> None:
@@ -125,8 +125,8 @@
                   address=self.address, reason=reason)  # fmt: skip
         if self.silence is not None:
             self.silence.cancel()
-        self._later()
+        self._schedule_reconnect()
 
-    def _later(self) -> None:
+    def _schedule_reconnect(self) -> None:
         self.again = self.loop.timers.schedule(self.loop.now + self.pause_ns, self.open)
-        self.pause_ns = min(2 * self.pause_ns, LONGEST_PAUSE_NS)
+        self.pause_ns = min(2 * self.pause_ns, MAX_BACKOFF_NS)
--- a/arrowrail/wire/bus/messages.py
+++ b/arrowrail/wire/bus/messages.py
@@ -10,9 +10,9 @@
 from loguru import logger
 
 from arrowrail.state.endpoints import STATES, EndpointEntry
-from arrowrail.wire.http import BodyParser, HttpError
+from arrowrail.wire.http import HttpError, ResponseBodyParser
 
-MAX_EVENT = 1024 * 1024  # a whole list of a large network is far below it
+MAX_EVENT_SIZE = 1024 * 1024  # a whole list of a large network is far below it
 
 
 class BusError(Exception):
@@ -22,8 +22,8 @@
 @dataclass(frozen=True, slots=True)
 class BusEvent:
     offset: int
-    whole: bool
-    lines: tuple[EndpointEntry, ...]
+    snapshot: bool
+    entries: tuple[EndpointEntry, ...]
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
 
     def feed(self, data: bytes) -> Iterator[str]:
         self._rest += data
-        if len(self._rest) + self._size > MAX_EVENT:
+        if len(self._rest) + self._size > MAX_EVENT_SIZE:
             raise BusError("an event over the limit")
         *lines, rest = self._rest.split(b"\n")
         self._rest = bytearray(rest)
@@ -55,7 +55,7 @@
     """The HTTP answer of the bus, chunked or not, down to its events."""
 
     def __init__(self) -> None:
-        self._http = BodyParser()
+        self._http = ResponseBodyParser()
         self._sse = SseParser()
 
     @property
@@ -64,7 +64,7 @@
 
     def feed(self, data: bytes) -> list[BusEvent]:
         try:
-            return [read_event(text) for text in self._sse.feed(self._http.feed(data))]
+            return [parse_event(text) for text in self._sse.feed(self._http.feed(data))]
         except HttpError as wrong:
             raise BusError(str(wrong)) from wrong
 
@@ -76,41 +76,42 @@
     ).encode()
 
 
-def read_event(text: str) -> BusEvent:
+def parse_event(text: str) -> BusEvent:
     try:
-        return event_of(orjson.loads(text))
+        return event_from_json(orjson.loads(text))
     except orjson.JSONDecodeError as wrong:
         raise BusError(f"an event that is no JSON: {wrong}") from wrong
 
 
-def event_of(value: Any) -> BusEvent:
+def event_from_json(value: Any) -> BusEvent:
     """One event, off the stream or from ``known``; other kinds than the list's count as empty news."""
     try:
         topology = value.get("topology") or {}
         targets = topology.get("targets") or ()
-        lines = tuple(line for line in map(_line, targets) if line is not None)
+        entries = tuple(entry for entry in map(_read_entry, targets) if entry is not None)
         # What could not be read may still be there: a whole list with a hole ends nothing.
-        whole = bool(topology.get("all")) and len(lines) == len(targets)
-        return BusEvent(int(value["offset"]), whole, lines)
+        snapshot = bool(topology.get("all")) and len(entries) == len(targets)
+        return BusEvent(int(value["offset"]), snapshot, entries)
     except (AttributeError, KeyError, TypeError, ValueError) as wrong:
         raise BusError(f"an event that makes no sense: {wrong!r}") from wrong
 
 
-def _line(line: Any) -> EndpointEntry | None:
+def _read_entry(target: Any) -> EndpointEntry | None:
     """Guards against one entry that makes no sense being asked for again for ever, and all behind it lost."""
     try:
-        return told_of(line)
+        return entry_from_json(target)
     except (AttributeError, KeyError, TypeError, ValueError) as wrong:
         logger.warning("event bus: an entry that makes no sense: {!r}", wrong)
         return None
 
 
-def told_of(line: Any) -> EndpointEntry:
-    state = str(line["state"])
+def entry_from_json(target: Any) -> EndpointEntry:
+    state = str(target["state"])
     if state not in STATES:
         raise ValueError(f"state {state!r}")
     return EndpointEntry(
-        str(line["uid"]), str(line["endpoint"]), str(line.get("az", "")), int(line.get("pod_group", -1)),
-        state, int(line.get("boot_ms") or 0) * 1_000_000, str(line.get("signalling", "binary")),
-        int(line.get("point_code") or 0), int(line.get("circuits") or 0),
+        str(target["uid"]), str(target["endpoint"]), str(target.get("az", "")),
+        int(target.get("pod_group", -1)), state, int(target.get("boot_ms") or 0) * 1_000_000,
+        str(target.get("signalling", "binary")), int(target.get("point_code") or 0),
+        int(target.get("circuits") or 0),
     )  # fmt: skip
--- a/arrowrail/wire/etcd/client.py
+++ b/arrowrail/wire/etcd/client.py
@@ -12,12 +12,14 @@
 from arrowrail.loop import Loop
 from arrowrail.state.timers import Timer
 from arrowrail.wire.etcd import messages as etcd
-from arrowrail.wire.http import BodyParser, HttpError
+from arrowrail.wire.http import HttpError, ResponseBodyParser
 from arrowrail.wire.reconnect import MAX_BACKOFF_NS, MIN_BACKOFF_NS
 from arrowrail.wire.stream import Stream, connect
 
-RANGE_NS = 5_000 * MS  # how long the range may take
-SILENCE_NS = 60_000 * MS  # a watch says nothing while nothing changes: after so long the list is read anew
+RANGE_TIMEOUT_NS = 5_000 * MS  # how long the range may take
+SILENCE_TIMEOUT_NS = (
+    60_000 * MS
+)  # a watch says nothing while nothing changes: after so long the list is read anew
 SOURCE = "etcd"
 
 
@@ -28,23 +30,23 @@
         self.loop, self.core, self.address, self.prefix = loop, core, address, prefix
         self.pause_ns = MIN_BACKOFF_NS
         self.stream: Stream | None = None
-        self._http = BodyParser()
+        self._http = ResponseBodyParser()
         self._body = bytearray()
         self._watch: etcd.WatchParser | None = None
         self._quiet: Timer | None = None
         self._watched_since = 0
 
     def start(self) -> None:
-        self._http, self._body, self._watch = BodyParser(), bytearray(), None
+        self._http, self._body, self._watch = ResponseBodyParser(), bytearray(), None
         try:
             self.stream = connect(self.loop, self, self.address)
         except OSError as why:  # no descriptor left
             self.loop.timers.schedule(self.loop.now, partial(self.lost, why))
             return
         self.stream.send(etcd.range_request(self.address, self.prefix))
-        self._expect(RANGE_NS)
+        self._expect(RANGE_TIMEOUT_NS)
 
-    def move(self, address: str, prefix: str) -> None:
+    def change_source(self, address: str, prefix: str) -> None:
         """Read on elsewhere: the range there tells what differs."""
         if (address, prefix) == (self.address, self.prefix):
             return
@@ -61,9 +63,9 @@
             if self._watch is None:
                 self._range(body)
             else:
-                self._expect(SILENCE_NS)
+                self._expect(SILENCE_TIMEOUT_NS)
                 for news in self._watch.feed(body):
-                    self.core.update_endpoints(SOURCE, False, news.lines)
+                    self.core.update_endpoints(SOURCE, False, news.entries)
         except (HttpError, etcd.EtcdError) as wrong:
             logger.warning("etcd: {}", wrong)
             self._cut(OSError(errno.EPROTO, str(wrong)))
@@ -73,16 +75,16 @@
 
     def _range(self, body: bytes) -> None:
         self._body += body
-        if len(self._body) > etcd.MAX_LINE:
+        if len(self._body) > etcd.MAX_RESPONSE_SIZE:
             raise etcd.EtcdError("a list over the limit")
         if not self._http.complete or self.stream is None:
             return
         news = etcd.read_range(bytes(self._body))
-        self.core.update_endpoints(SOURCE, True, news.lines)
+        self.core.update_endpoints(SOURCE, True, news.entries)
         self._watched_since = self.loop.now
-        self._http, self._watch = BodyParser(), etcd.WatchParser(self.prefix)
+        self._http, self._watch = ResponseBodyParser(), etcd.WatchParser(self.prefix)
         self.stream.send(etcd.watch_request(self.address, self.prefix, news.revision + 1))
-        self._expect(SILENCE_NS)
+        self._expect(SILENCE_TIMEOUT_NS)
 
     def _expect(self, within_ns: int) -> None:
         if self._quiet is not None:
--- a/arrowrail/wire/etcd/messages.py
+++ b/arrowrail/wire/etcd/messages.py
@@ -9,23 +9,23 @@
 import orjson
 
 from arrowrail.state.endpoints import TERMINATED, EndpointEntry
-from arrowrail.wire.bus.messages import told_of
+from arrowrail.wire.bus.messages import entry_from_json
 
-MAX_LINE = 1024 * 1024
+MAX_RESPONSE_SIZE = 1024 * 1024
 
 
 class EtcdError(Exception):
     """An answer that can't be used; a range begins anew."""
 
 
-class Compacted(EtcdError):
+class WatchCanceled(EtcdError):
     """The revision asked for is gone, or the watch was cancelled: what was missed is not to be had."""
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class ListUpdate:
     revision: int
-    lines: tuple[EndpointEntry, ...]
+    entries: tuple[EndpointEntry, ...]
 
 
 def _b64(raw: bytes) -> str:
@@ -60,7 +60,7 @@
     return _post(host, "/v3/watch", {"create_request": create})
 
 
-def read_range(body: bytes) -> News:
+def read_range(body: bytes) -> ListUpdate:
     """The whole list and the revision at which it was read.
 
     A key whose value makes no sense is passed over: one bad entry must not hide the others.
@@ -68,10 +68,10 @@
     try:
         answer = orjson.loads(body)
         revision = int(answer["header"]["revision"])
-        lines = [_line(kv) for kv in answer.get("kvs") or ()]
+        entries = [_read_entry(kv) for kv in answer.get("kvs") or ()]
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError) as wrong:
         raise EtcdError(f"range: {wrong!r}") from wrong
-    return News(revision, tuple(line for line in lines if line is not None))
+    return ListUpdate(revision, tuple(entry for entry in entries if entry is not None))
 
 
 @dataclass(slots=True)
@@ -81,24 +81,24 @@
     prefix: str
     _rest: bytearray = field(default_factory=bytearray)
 
-    def feed(self, body: bytes) -> list[News]:
+    def feed(self, body: bytes) -> list[ListUpdate]:
         self._rest += body
-        if len(self._rest) > MAX_LINE:
+        if len(self._rest) > MAX_RESPONSE_SIZE:
             raise EtcdError("an answer over the limit")
         *lines, rest = self._rest.split(b"\n")
         self._rest = bytearray(rest)
         return [self._read(line) for line in lines if line.strip()]
 
-    def _read(self, line: bytes | bytearray) -> News:
+    def _read(self, line: bytes | bytearray) -> ListUpdate:
         try:
             outer = orjson.loads(line)
             if "error" in outer:
                 raise EtcdError(f"watch: {outer['error']}")
             result = outer["result"]
             if result.get("canceled") or int(result.get("compact_revision") or 0):
-                raise Compacted(f"watch ended: {result.get('cancel_reason') or 'compacted'}")
+                raise WatchCanceled(f"watch ended: {result.get('cancel_reason') or 'compacted'}")
             events = [self._event(e) for e in result.get("events") or ()]
-            return News(int(result["header"]["revision"]), tuple(e for e in events if e is not None))
+            return ListUpdate(int(result["header"]["revision"]), tuple(e for e in events if e is not None))
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError) as wrong:
             raise EtcdError(f"watch: {wrong!r}") from wrong
 
@@ -106,17 +106,17 @@
         if event.get("type", "PUT") == "DELETE":
             key = base64.b64decode(event["kv"]["key"]).decode()
             return EndpointEntry(_uid(key), "", "", -1, TERMINATED, 0)
-        return _line(event["kv"])
+        return _read_entry(event["kv"])
 
 
 def _uid(key: str) -> str:
     return key.rpartition("/")[2]
 
 
-def _line(kv: dict[str, Any]) -> EndpointEntry | None:
+def _read_entry(kv: dict[str, Any]) -> EndpointEntry | None:
     """An entry's value has the event bus's form; its key's last part is the uid."""
     try:
         value = orjson.loads(base64.b64decode(kv["value"]))
-        return told_of({"uid": _uid(base64.b64decode(kv["key"]).decode()), **value})
+        return entry_from_json({"uid": _uid(base64.b64decode(kv["key"]).decode()), **value})
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
         return None
--- a/arrowrail/wire/http.py
+++ b/arrowrail/wire/http.py
@@ -9,7 +9,7 @@
     """The answer is no HTTP, or not the one that was asked for."""
 
 
-class BodyParser:
+class ResponseBodyParser:
     def __init__(self) -> None:
         self._http = httptools.HttpResponseParser(self)
         self._body: list[bytes] = []
--- a/arrowrail/wire/m3ua/link.py
+++ b/arrowrail/wire/m3ua/association.py
@@ -14,8 +14,15 @@
 from arrowrail.wire.bad_input import MessageTimeout, RateLimitedWarning
 from arrowrail.wire.m3ua import isup
 from arrowrail.wire.m3ua import messages as m3ua
-from arrowrail.wire.m3ua.isup import Isup, IsupError
-from arrowrail.wire.m3ua.messages import Error, Kind, M3uaError, Message, ProtocolData, Tag
+from arrowrail.wire.m3ua.isup import IsupError, IsupMessage
+from arrowrail.wire.m3ua.messages import (
+    ErrorCode,
+    M3uaError,
+    Message,
+    MessageType,
+    ParameterTag,
+    ProtocolData,
+)
 from arrowrail.wire.stream import Stream
 
 DOWN, INACTIVE, ACTIVE = "down", "inactive", "active"
@@ -38,7 +45,7 @@
     def active(self, link: Association) -> None:
         """Traffic may flow."""
 
-    def isup(self, link: Association, label: ProtocolData, message: Isup) -> None: ...
+    def isup(self, link: Association, label: ProtocolData, message: IsupMessage) -> None: ...
     def lost(self, link: Association, why: OSError | None) -> None: ...
 
 
@@ -63,7 +70,7 @@
         self._heard_at = self.loop.now
         self._beat = self.loop.timers.schedule(self.loop.now + self.settings.heartbeat_ns, self._heartbeat)
         if self.asks:
-            self._ask(Kind.ASPUP)
+            self._ask(MessageType.ASPUP)
         else:
             self._unfinished.update(True, False)  # a peer that says nothing must not keep its place
 
@@ -78,7 +85,7 @@
                 self._message(found)
             except M3uaError as wrong:
                 self.bad.record(f"M3UA: {wrong}")
-                self._send(m3ua.error(wrong.code, str(wrong)))
+                self._send(m3ua.encode_error(wrong.code, str(wrong)))
                 if wrong.fatal and self.stream is not None:
                     self.stream.close_gracefully()
                     self.lost(OSError(errno.EPROTO, str(wrong)))
@@ -104,7 +111,7 @@
         stream = self.stream
         if stream is not None:
             if self.asks and self.state != DOWN:
-                self._send(m3ua.encode(Message(Kind.ASPDN)))
+                self._send(m3ua.encode(Message(MessageType.ASPDN)))
             stream.close_gracefully()
         self.state = DOWN
         self._unfinished.cancel()
@@ -112,9 +119,11 @@
             if deadline is not None:
                 deadline.cancel()
 
-    def send_isup(self, dpc: int, message: Isup, tag: object = None) -> None:
+    def send_isup(self, dpc: int, message: IsupMessage, tag: object = None) -> None:
         label = ProtocolData(self.settings.point_code, dpc, isup.encode(message), sls=message.cic & 0xF)
-        self._send(m3ua.data(label, self.settings.routing_context, self.settings.network_appearance), tag)
+        self._send(
+            m3ua.encode_data(label, self.settings.routing_context, self.settings.network_appearance), tag
+        )
 
     def _send(self, data: bytes, tag: object = None) -> None:
         if self.stream is not None:
@@ -139,8 +148,8 @@
             self.stream.fail(OSError(errno.ETIMEDOUT, "no answer to a heartbeat"))
 
     def _beat_now(self) -> None:
-        beat = {int(Tag.HEARTBEAT): self.loop.now.to_bytes(8, "big")}
-        self._send(m3ua.encode(Message(Kind.BEAT, beat)))
+        beat = {int(ParameterTag.HEARTBEAT): self.loop.now.to_bytes(8, "big")}
+        self._send(m3ua.encode(Message(MessageType.BEAT, beat)))
 
     def _heartbeat(self) -> None:
         """Guards against a peer that vanished, or stalls in the middle of a message, being trusted on."""
@@ -155,15 +164,15 @@
 
     # --- The handshake ----------------------------------------------------------------------------------
 
-    def _ask(self, kind: Kind) -> None:
+    def _ask(self, message_type: MessageType) -> None:
         parameters = {}
-        if kind == Kind.ASPAC:
-            parameters[int(Tag.TRAFFIC_MODE)] = m3ua.number(m3ua.TRAFFIC_LOADSHARE)
+        if message_type == MessageType.ASPAC:
+            parameters[int(ParameterTag.TRAFFIC_MODE)] = m3ua.encode_uint32(m3ua.TRAFFIC_LOADSHARE)
             parameters |= self._context()
-        self._send(m3ua.encode(Message(kind, parameters)))
+        self._send(m3ua.encode(Message(message_type, parameters)))
         if self._handshake is not None:
             self._handshake.cancel()
-        late = OSError(errno.ETIMEDOUT, f"no answer to {kind.name}")
+        late = OSError(errno.ETIMEDOUT, f"no answer to {message_type.name}")
         stream = self.stream
         self._handshake = self.loop.timers.schedule(
             self.loop.now + HANDSHAKE_NS, lambda: stream.fail(late) if stream is not None else None
@@ -171,78 +180,81 @@
 
     def _context(self) -> dict[int, bytes]:
         context = self.settings.routing_context
-        return {int(Tag.ROUTING_CONTEXT): m3ua.number(context)} if context is not None else {}
+        return {int(ParameterTag.ROUTING_CONTEXT): m3ua.encode_uint32(context)} if context is not None else {}
 
     def _check(self, message: Message) -> None:
-        context, appearance = message.number(Tag.ROUTING_CONTEXT), message.number(Tag.NETWORK_APPEARANCE)
+        context, appearance = (
+            message.uint32(ParameterTag.ROUTING_CONTEXT),
+            message.uint32(ParameterTag.NETWORK_APPEARANCE),
+        )
         if context is not None and context != self.settings.routing_context:
-            raise M3uaError(Error.INVALID_CONTEXT, f"routing context {context}", False)
+            raise M3uaError(ErrorCode.INVALID_CONTEXT, f"routing context {context}", False)
         if appearance is not None and appearance != self.settings.network_appearance:
-            raise M3uaError(Error.INVALID_APPEARANCE, f"network appearance {appearance}", False)
+            raise M3uaError(ErrorCode.INVALID_APPEARANCE, f"network appearance {appearance}", False)
 
     def _activate(self) -> None:
         self.state = ACTIVE
         self.user.active(self)
 
     def _message(self, message: Message) -> None:
-        kind = message.kind
-        if kind == Kind.DATA:
+        message_type = message.message_type
+        if message_type == MessageType.DATA:
             self._data(message)
-        elif kind == Kind.BEAT:
-            self._send(m3ua.encode(Message(Kind.BEAT_ACK, message.parameters)))
-        elif kind == Kind.ERR:
-            logger.warning("M3UA: peer reports error {}", message.number(Tag.ERROR_CODE))
+        elif message_type == MessageType.BEAT:
+            self._send(m3ua.encode(Message(MessageType.BEAT_ACK, message.parameters)))
+        elif message_type == MessageType.ERR:
+            logger.warning("M3UA: peer reports error {}", message.uint32(ParameterTag.ERROR_CODE))
         elif self.asks:
-            self._answered(kind)
+            self._answered(message_type)
         else:
-            self._asked(kind, message)
+            self._asked(message_type, message)
 
-    def _answered(self, kind: Kind) -> None:
-        if kind == Kind.ASPUP_ACK and self.state == DOWN:
+    def _answered(self, message_type: MessageType) -> None:
+        if message_type == MessageType.ASPUP_ACK and self.state == DOWN:
             self.state = INACTIVE
-            self._ask(Kind.ASPAC)
-        elif kind == Kind.ASPAC_ACK and self.state == INACTIVE:
+            self._ask(MessageType.ASPAC)
+        elif message_type == MessageType.ASPAC_ACK and self.state == INACTIVE:
             if self._handshake is not None:
                 self._handshake.cancel()
             self._activate()
-        elif kind in (Kind.ASPIA_ACK, Kind.ASPDN_ACK) and self.stream is not None:
+        elif message_type in (MessageType.ASPIA_ACK, MessageType.ASPDN_ACK) and self.stream is not None:
             self.stream.fail(OSError(errno.ECONNABORTED, "put out of service by the peer"))
 
-    def _asked(self, kind: Kind, message: Message) -> None:
-        if kind == Kind.ASPUP:
+    def _asked(self, message_type: MessageType, message: Message) -> None:
+        if message_type == MessageType.ASPUP:
             self.state = INACTIVE
-            self._send(m3ua.encode(Message(Kind.ASPUP_ACK)))
-        elif kind == Kind.ASPDN:
+            self._send(m3ua.encode(Message(MessageType.ASPUP_ACK)))
+        elif message_type == MessageType.ASPDN:
             self.state = DOWN
-            self._send(m3ua.encode(Message(Kind.ASPDN_ACK)))
-        elif kind in (Kind.ASPAC, Kind.ASPIA):
+            self._send(m3ua.encode(Message(MessageType.ASPDN_ACK)))
+        elif message_type in (MessageType.ASPAC, MessageType.ASPIA):
             if self.state == DOWN:
-                raise M3uaError(Error.UNEXPECTED_MESSAGE, f"{kind.name} before ASPUP", False)
+                raise M3uaError(ErrorCode.UNEXPECTED_MESSAGE, f"{message_type.name} before ASPUP", False)
             self._check(message)
-            mode = message.number(Tag.TRAFFIC_MODE)
+            mode = message.uint32(ParameterTag.TRAFFIC_MODE)
             if mode not in (None, m3ua.TRAFFIC_OVERRIDE, m3ua.TRAFFIC_LOADSHARE):
-                raise M3uaError(Error.UNSUPPORTED_MODE, f"traffic mode {mode}", False)
-            if kind == Kind.ASPIA:
+                raise M3uaError(ErrorCode.UNSUPPORTED_MODE, f"traffic mode {mode}", False)
+            if message_type == MessageType.ASPIA:
                 self.state = INACTIVE
-                self._send(m3ua.encode(Message(Kind.ASPIA_ACK, self._context())))
+                self._send(m3ua.encode(Message(MessageType.ASPIA_ACK, self._context())))
             else:
-                self._send(m3ua.encode(Message(Kind.ASPAC_ACK, self._context())))
+                self._send(m3ua.encode(Message(MessageType.ASPAC_ACK, self._context())))
                 self._activate()
 
     def _data(self, message: Message) -> None:
         if self.state != ACTIVE:
-            raise M3uaError(Error.UNEXPECTED_MESSAGE, f"DATA while {self.state}", False)
+            raise M3uaError(ErrorCode.UNEXPECTED_MESSAGE, f"DATA while {self.state}", False)
         self._check(message)
-        label = m3ua.read_data(message)
+        label = m3ua.decode_data(message)
         if label.dpc != self.settings.point_code:
-            affected = {AFFECTED_POINT_CODE: m3ua.number(label.dpc)}
-            self._send(m3ua.encode(Message(Kind.DUNA, affected)))
+            affected = {AFFECTED_POINT_CODE: m3ua.encode_uint32(label.dpc)}
+            self._send(m3ua.encode(Message(MessageType.DUNA, affected)))
             return
-        if label.service != m3ua.SI_ISUP:
-            raise M3uaError(Error.PROTOCOL_ERROR, f"service indicator {label.service}", False)
+        if label.service_indicator != m3ua.SI_ISUP:
+            raise M3uaError(ErrorCode.PROTOCOL_ERROR, f"service indicator {label.service_indicator}", False)
         try:
-            decoded = isup.decode(label.user)
+            decoded = isup.decode(label.user_data)
         except IsupError as wrong:
-            raise M3uaError(Error.PROTOCOL_ERROR, f"ISUP: {wrong}", False) from wrong
+            raise M3uaError(ErrorCode.PROTOCOL_ERROR, f"ISUP: {wrong}", False) from wrong
         if decoded is not None:
             self.user.isup(self, label, decoded)
--- a/arrowrail/wire/m3ua/causes.py
+++ b/arrowrail/wire/m3ua/causes.py
@@ -56,20 +56,20 @@
     (OVER_LIMIT, None): 42,
 }
 FAILED_CAUSES: dict[tuple[str, int | None], int] = {("no_answer", None): 102}
-FAILED_OTHERWISE = 41
+DEFAULT_FAILED_CAUSE = 41
 
 
-def cause_of(answer: FinalResponse) -> int:
+def release_cause(answer: FinalResponse) -> int:
     """The cause of the release that carries a final answer 'refused' or 'failed'."""
     low = answer.cause % 16 if answer.cause != 18 else 18  # above 16, the module's cause holds a wait
     table = FAILED_CAUSES if answer.result == FAILED else REFUSED_CAUSES
     for key in ((answer.outcome, low), (answer.outcome, None)):
         if key in table:
             return table[key]
-    return FAILED_OTHERWISE if answer.result == FAILED else 34
+    return DEFAULT_FAILED_CAUSE if answer.result == FAILED else 34
 
 
-def ended_by(cause: int) -> ReleaseOutcome:
+def release_outcome(cause: int) -> ReleaseOutcome:
     """What a desk exchange's REL means, before and after its answer."""
     row = BY_CAUSE.get(cause, UNKNOWN)
     return ReleaseOutcome(
--- a/arrowrail/wire/m3ua/front.py
+++ b/arrowrail/wire/m3ua/frontend.py
@@ -15,10 +15,10 @@
 from arrowrail.state.timers import Timer
 from arrowrail.wire.listener import Listener
 from arrowrail.wire.m3ua import causes
-from arrowrail.wire.m3ua.isup import UUI_MAX, Isup, IsupType
-from arrowrail.wire.m3ua.link import ACTIVE, DOWN, Association, M3uaSettings
+from arrowrail.wire.m3ua.association import ACTIVE, DOWN, Association, M3uaSettings
+from arrowrail.wire.m3ua.isup import UUI_MAX, IsupMessage, IsupMessageType
+from arrowrail.wire.m3ua.mappings import T1_NS, ClassMapping, PrefixMapping
 from arrowrail.wire.m3ua.messages import ProtocolData
-from arrowrail.wire.m3ua.rules import T1_NS, ClassRule, NumberRule
 from arrowrail.wire.stream import Stream
 
 RELEASE_KEPT_NS = 8_000 * MS  # how long a release waits for an association to go out on
@@ -39,19 +39,19 @@
     t1: Timer | None = None
 
 
-class M3uaFront:
+class M3uaFrontend:
     def __init__(
         self, loop: Loop, core: Core, address: str, settings: M3uaSettings,
-        classes: tuple[ClassRule, ...], numbers: tuple[NumberRule, ...],
+        classes: tuple[ClassMapping, ...], numbers: tuple[PrefixMapping, ...],
     ) -> None:  # fmt: skip
         self.loop, self.core, self.address, self.settings = loop, core, address, settings
-        self.use(classes, numbers)
-        self.links: SlotTable[Association] = SlotTable()
+        self.update_mappings(classes, numbers)
+        self.associations: SlotTable[Association] = SlotTable()
         self.circuits: dict[Key, Circuit] = {}
         self.by_call: dict[str, Key] = {}
         self.listener: Listener | None = None
 
-    def use(self, classes: tuple[ClassRule, ...], numbers: tuple[NumberRule, ...]) -> None:
+    def update_mappings(self, classes: tuple[ClassMapping, ...], numbers: tuple[PrefixMapping, ...]) -> None:
         """From now on; a call that was offered keeps what it was offered as."""
         self.classes = classes
         self.numbers = sorted(numbers, key=lambda n: -len(n.prefix))  # the longest prefix wins
@@ -59,12 +59,20 @@
     def start(self) -> None:
         self.core.frontends.append(self)
         self.listener = Listener(
-            self.loop, self.address, self._accepted, lambda: len(self.links) < MAX_CLIENTS, self._close_idlest
+            self.loop,
+            self.address,
+            self._accepted,
+            lambda: len(self.associations) < MAX_CLIENTS,
+            self._close_idlest,
         )
 
     def _close_idlest(self) -> bool:
         """Guards against silent peers taking the places of clients: who never shook hands goes first."""
-        down = [link for link in self.links if link.state == DOWN and link.stream is not None]
+        down = [
+            association
+            for association in self.associations
+            if association.state == DOWN and association.stream is not None
+        ]
         if down and down[0].stream is not None:
             down[0].stream.fail(None)
         return bool(down)
@@ -72,23 +80,23 @@
     # --- Associations -----------------------------------------------------------------------------------
 
     def _accepted(self, sock: socket.socket) -> None:
-        link = Association(self.loop, self.settings, self, False)
-        link.handle = self.links.add(link)
-        link.stream = Stream(self.loop, sock, link)
-        link.connected()
+        association = Association(self.loop, self.settings, self, False)
+        association.handle = self.associations.add(association)
+        association.stream = Stream(self.loop, sock, association)
+        association.connected()
 
-    def active(self, link: Association) -> None:
+    def active(self, association: Association) -> None:
         """Releases that found no association go out now; calls that stand belong to none."""
         for circuit in list(self.circuits.values()):
-            home = self.links.get(circuit.line)
+            home = self.associations.get(circuit.line)
             if circuit.clearing and (home is None or home.state != ACTIVE):
-                circuit.line = link.handle
+                circuit.line = association.handle
                 self._release(circuit, causes.NORMAL)
 
-    def lost(self, link: Association, _why: OSError | None) -> None:
-        self.links.remove(link.handle)
+    def lost(self, association: Association, _why: OSError | None) -> None:
+        self.associations.remove(association.handle)
         for circuit in list(self.circuits.values()):
-            if circuit.line == link.handle and not circuit.standing and not circuit.clearing:
+            if circuit.line == association.handle and not circuit.standing and not circuit.clearing:
                 self.core.caller_abandoned(circuit.call)
                 self._drop(circuit)
         if self.listener is not None:
@@ -96,26 +104,26 @@
 
     # --- From clients -----------------------------------------------------------------------------------
 
-    def isup(self, link: Association, label: ProtocolData, message: Isup) -> None:
+    def isup(self, association: Association, label: ProtocolData, message: IsupMessage) -> None:
         key = (label.opc, message.cic)
         circuit = self.circuits.get(key)
-        if message.kind == IsupType.IAM:
-            self._set_up(link, key, circuit, message)
-        elif message.kind in (IsupType.REL, IsupType.RSC):
-            link.send_isup(label.opc, Isup(message.cic, IsupType.RLC))
+        if message.message_type == IsupMessageType.IAM:
+            self._set_up(association, key, circuit, message)
+        elif message.message_type in (IsupMessageType.REL, IsupMessageType.RSC):
+            association.send_isup(label.opc, IsupMessage(message.cic, IsupMessageType.RLC))
             if circuit is not None:
                 if not circuit.clearing and not self.core.caller_released(circuit.call):
                     self.core.caller_abandoned(circuit.call)
                 self._drop(circuit)
-        elif message.kind == IsupType.RLC and circuit is not None and circuit.clearing:
+        elif message.message_type == IsupMessageType.RLC and circuit is not None and circuit.clearing:
             self._drop(circuit)
 
-    def _set_up(self, link: Association, key: Key, before: Circuit | None, m: Isup) -> None:
+    def _set_up(self, association: Association, key: Key, before: Circuit | None, m: IsupMessage) -> None:
         if before is not None and not before.clearing:
             return  # sent again: the first one's answer is the only one
         if before is not None:
             self._drop(before)  # the client uses the circuit anew, so it has heard our release
-        exchange = next((n.exchange for n in self.numbers if m.called.startswith(n.prefix)), None)
+        exchange = next((n.exchange for n in self.numbers if m.called_number.startswith(n.prefix)), None)
         rule = next(
             (
                 c
@@ -124,17 +132,19 @@
             ),
             None,
         )
-        circuit = Circuit(os.urandom(8).hex(), key, link.handle)
+        circuit = Circuit(os.urandom(8).hex(), key, association.handle)
         self.circuits[key] = circuit
-        if exchange is None or rule is None or not m.called:
-            self._release(circuit, UNALLOCATED if exchange is None or not m.called else NOT_IMPLEMENTED)
+        if exchange is None or rule is None or not m.called_number:
+            self._release(
+                circuit, UNALLOCATED if exchange is None or not m.called_number else NOT_IMPLEMENTED
+            )
             return
         self.by_call[circuit.call] = key
         offer = SetUpParams(
-            circuit.call, rule.class_name, m.called, int(m.called, 16), exchange, rule.width,
+            circuit.call, rule.class_name, m.called_number, int(m.called_number, 16), exchange, rule.width,
             self.loop.now + rule.deadline_ns, m.uui,
         )  # fmt: skip
-        self.core.submit(self, link.handle, offer)
+        self.core.submit(self, association.handle, offer)
 
     # --- From the core ----------------------------------------------------------------------------------
 
@@ -142,11 +152,11 @@
         circuit = self._circuit(request.params.call_id)
         if circuit is None:
             return
-        link = self.links.get(circuit.line)
+        association = self.associations.get(circuit.line)
         if answer.result != ESTABLISHED:
             level = 1 if answer.retry_after_ns > 0 else 0  # ISUP's word for "come back later"
-            self._release(circuit, causes.cause_of(answer), level)
-        elif len(answer.session_description) > UUI_MAX or link is None:
+            self._release(circuit, causes.release_cause(answer), level)
+        elif len(answer.session_description) > UUI_MAX or association is None:
             # It can't be passed on whole, and half a description is none: the call is cleared both ways.
             logger.warning(
                 "an answer's description of {} bytes can't be passed on", len(answer.session_description)
@@ -155,8 +165,11 @@
             self._release(circuit, INTERWORKING)
         else:
             circuit.standing = True
-            link.send_isup(circuit.key[0], Isup(circuit.key[1], IsupType.ACM))
-            link.send_isup(circuit.key[0], Isup(circuit.key[1], IsupType.ANM, uui=answer.session_description))
+            association.send_isup(circuit.key[0], IsupMessage(circuit.key[1], IsupMessageType.ACM))
+            association.send_isup(
+                circuit.key[0],
+                IsupMessage(circuit.key[1], IsupMessageType.ANM, uui=answer.session_description),
+            )
 
     def release(self, request: Request, cause: int) -> None:
         circuit = self._circuit(request.params.call_id)
@@ -168,10 +181,12 @@
 
     @property
     def connections(self) -> int:
-        return len(self.links)
+        return len(self.associations)
 
     def flushed(self) -> bool:
-        return all(link.stream is None or link.stream.flushed for link in self.links)
+        return all(
+            association.stream is None or association.stream.flushed for association in self.associations
+        )
 
     # --- Circuits ---------------------------------------------------------------------------------------
 
@@ -182,16 +197,20 @@
     def _release(self, circuit: Circuit, cause: int, congestion: int = 0) -> None:
         """REL on the circuit's own association, else on any active one; again each T1 until its RLC."""
         circuit.clearing, circuit.standing = True, False
-        link = self.links.get(circuit.line)
-        if link is None or link.state != ACTIVE:
-            link = next((other for other in self.links if other.state == ACTIVE), None)
-        if link is not None:
-            release = Isup(circuit.key[1], IsupType.REL, cause=cause, congestion=congestion)
-            link.send_isup(circuit.key[0], release)
+        association = self.associations.get(circuit.line)
+        if association is None or association.state != ACTIVE:
+            association = next((other for other in self.associations if other.state == ACTIVE), None)
+        if association is not None:
+            release = IsupMessage(circuit.key[1], IsupMessageType.REL, cause=cause, congestion=congestion)
+            association.send_isup(circuit.key[0], release)
         if circuit.t1 is not None:
             circuit.t1.cancel()
-        wait = T1_NS if link is not None else RELEASE_KEPT_NS
-        act = (lambda: self._release(circuit, cause)) if link is not None else (lambda: self._drop(circuit))
+        wait = T1_NS if association is not None else RELEASE_KEPT_NS
+        act = (
+            (lambda: self._release(circuit, cause))
+            if association is not None
+            else (lambda: self._drop(circuit))
+        )
         circuit.t1 = self.loop.timers.schedule(self.loop.now + wait, act)
 
     def _drop(self, circuit: Circuit) -> None:
--- a/arrowrail/wire/m3ua/isup.py
+++ b/arrowrail/wire/m3ua/isup.py
@@ -18,7 +18,7 @@
 TMR_SPEECH = 0x00
 
 
-class IsupType(IntEnum):
+class IsupMessageType(IntEnum):
     IAM = 0x01
     ACM = 0x06
     ANM = 0x09
@@ -32,51 +32,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Isup:
+class IsupMessage:
     cic: int
-    kind: int
+    message_type: int
     category: int = CATEGORY_ORDINARY  # calling party's category (IAM)
     requirement: int = TMR_SPEECH  # transmission medium requirement (IAM)
-    called: str = ""  # called party number (IAM)
+    called_number: str = ""  # called party number (IAM)
     cause: int = 0  # Q.850 cause value (REL)
     congestion: int = 0  # automatic congestion level (REL): 1 or 2 asks the other side to hold off
     uui: bytes = b""  # user-to-user information (IAM, ANM)
 
 
-FIXED = {IsupType.IAM: 5, IsupType.ACM: 2, IsupType.ANM: 0, IsupType.REL: 0, IsupType.RLC: 0, IsupType.RSC: 0}
-VARIABLE = {IsupType.IAM: 1, IsupType.REL: 1}
+FIXED = {
+    IsupMessageType.IAM: 5,
+    IsupMessageType.ACM: 2,
+    IsupMessageType.ANM: 0,
+    IsupMessageType.REL: 0,
+    IsupMessageType.RLC: 0,
+    IsupMessageType.RSC: 0,
+}
+VARIABLE = {IsupMessageType.IAM: 1, IsupMessageType.REL: 1}
 
 
-def decode(user: bytes) -> Isup | None:
+def decode(user: bytes) -> IsupMessage | None:
     """The message, or ``None`` for a type that plays no part in a basic call."""
     if len(user) < 3:
         raise IsupError("shorter than a CIC and a type")
     cic = int.from_bytes(user[:2], "little") & CIC_MAX
     try:
-        kind = IsupType(user[2])
+        message_type = IsupMessageType(user[2])
     except ValueError:
         return None
-    at = 3 + FIXED[kind]
+    at = 3 + FIXED[message_type]
     fixed = user[3:at]
-    if len(fixed) < FIXED[kind]:
+    if len(fixed) < FIXED[message_type]:
         raise IsupError("mandatory part cut short")
     variable = b""
-    if kind in VARIABLE:
+    if message_type in VARIABLE:
         variable = _variable(user, at)
         at += 1
     optional = _optional(user, at)
     congestion = optional.get(CONGESTION, b"\0")
     uui = optional.get(UUI, b"")[1:]
-    called, cause = "", 0
-    if kind == IsupType.IAM:
-        called = _read_number(variable)
-    elif kind == IsupType.REL:
+    called_number, cause = "", 0
+    if message_type == IsupMessageType.IAM:
+        called_number = _read_number(variable)
+    elif message_type == IsupMessageType.REL:
         if len(variable) < 2:
             raise IsupError("cause indicators cut short")
         cause = variable[1 if variable[0] & 0x80 else 2 :][0] & 0x7F if len(variable) > 1 else 0
-    return Isup(
-        cic, kind, fixed[3] if kind == IsupType.IAM else 0, fixed[4] if kind == IsupType.IAM else 0,
-        called, cause, congestion[0] if congestion else 0, uui,
+    return IsupMessage(
+        cic, message_type, fixed[3] if message_type == IsupMessageType.IAM else 0,
+        fixed[4] if message_type == IsupMessageType.IAM else 0, called_number, cause,
+        congestion[0] if congestion else 0, uui,
     )  # fmt: skip
 
 
@@ -112,7 +120,7 @@
     return digits.rstrip("F")  # F: end of pulsing, no digit
 
 
-def encode(m: Isup) -> bytes:
+def encode(m: IsupMessage) -> bytes:
     optional = b""
     if m.congestion:
         optional += bytes((CONGESTION, 1, m.congestion))
@@ -121,16 +129,16 @@
             raise IsupError(f"user-to-user information of {len(m.uui)} bytes")
         optional += bytes((UUI, len(m.uui) + 1, UUI_DISCRIMINATOR)) + m.uui
     optional += bytes((END,)) if optional else b""
-    head = m.cic.to_bytes(2, "little") + bytes((m.kind,))
-    if m.kind == IsupType.IAM:
+    head = m.cic.to_bytes(2, "little") + bytes((m.message_type,))
+    if m.message_type == IsupMessageType.IAM:
         # One satellite-free path, ISDN access asked for end to end: nothing here turns on these.
         head += bytes((0x00, 0x60, 0x01, m.category, m.requirement))
-        return head + _parts(_write_number(m.called), optional)
-    if m.kind == IsupType.REL:
+        return head + _parts(_write_number(m.called_number), optional)
+    if m.message_type == IsupMessageType.REL:
         return head + _parts(bytes((0x80, 0x80 | m.cause)), optional)
-    if m.kind == IsupType.RSC:
+    if m.message_type == IsupMessageType.RSC:
         return head  # it has no parameters, not even a pointer
-    if m.kind == IsupType.ACM:
+    if m.message_type == IsupMessageType.ACM:
         head += bytes((0x16, 0x14))  # charge, subscriber free, ordinary
     return head + bytes((1 if optional else 0,)) + optional
 
--- a/arrowrail/wire/m3ua/rules.py
+++ b/arrowrail/wire/m3ua/mappings.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClassRule:
+class ClassMapping:
     """Which class and deadline a set-up gets; a field that is ``None`` fits any."""
 
     class_name: str
@@ -21,6 +21,6 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NumberRule:
+class PrefixMapping:
     prefix: str
     exchange: int
--- a/arrowrail/wire/m3ua/messages.py
+++ b/arrowrail/wire/m3ua/messages.py
@@ -18,7 +18,7 @@
 TRAFFIC_OVERRIDE, TRAFFIC_LOADSHARE, TRAFFIC_BROADCAST = 1, 2, 3
 
 
-class Kind(IntEnum):
+class MessageType(IntEnum):
     """Message class and type in one number: class << 8 | type."""
 
     ERR = 0x0000
@@ -42,7 +42,7 @@
     ASPIA_ACK = 0x0404
 
 
-class Tag(IntEnum):
+class ParameterTag(IntEnum):
     INFO = 0x0004
     ROUTING_CONTEXT = 0x0006
     DIAGNOSTIC = 0x0007
@@ -55,7 +55,7 @@
     PROTOCOL_DATA = 0x0210
 
 
-class Error(IntEnum):
+class ErrorCode(IntEnum):
     """Error codes of RFC 4666, 3.8.1, that are sent here."""
 
     INVALID_VERSION = 0x01
@@ -73,17 +73,17 @@
 class M3uaError(Exception):
     """A message that can't be taken; ``fatal`` where the stream can't be read on behind it."""
 
-    def __init__(self, code: Error, why: str, fatal: bool) -> None:
+    def __init__(self, code: ErrorCode, why: str, fatal: bool) -> None:
         super().__init__(why)
         self.code, self.fatal = code, fatal
 
 
 @dataclass(slots=True)
 class Message:
-    kind: Kind
+    message_type: MessageType
     parameters: dict[int, bytes] = field(default_factory=dict)  # the first of each tag
 
-    def number(self, tag: Tag) -> int | None:
+    def uint32(self, tag: ParameterTag) -> int | None:
         value = self.parameters.get(tag)
         return int.from_bytes(value[:4], "big") if value is not None and len(value) >= 4 else None
 
@@ -94,9 +94,9 @@
 
     opc: int
     dpc: int
-    user: bytes
-    service: int = SI_ISUP
-    network: int = 0
+    user_data: bytes
+    service_indicator: int = SI_ISUP
+    network_indicator: int = 0
     priority: int = 0
     sls: int = 0
 
@@ -117,35 +117,35 @@
         self._buffer += data
         found: list[Message | M3uaError] = []
         while len(self._buffer) >= HEADER.size:
-            version, _, group, kind, length = HEADER.unpack_from(self._buffer)
+            version, _, message_class, message_type, length = HEADER.unpack_from(self._buffer)
             if version != VERSION:
-                found.append(M3uaError(Error.INVALID_VERSION, f"version {version}", True))
+                found.append(M3uaError(ErrorCode.INVALID_VERSION, f"version {version}", True))
                 break
             if length < HEADER.size or length > MAX_MESSAGE or length % 4:
-                found.append(M3uaError(Error.PROTOCOL_ERROR, f"length {length}", True))
+                found.append(M3uaError(ErrorCode.PROTOCOL_ERROR, f"length {length}", True))
                 break
             if len(self._buffer) < length:
                 break
             frame = bytes(self._buffer[:length])
             del self._buffer[:length]
-            found.append(_read(group, kind, frame))
+            found.append(_read(message_class, message_type, frame))
         return found
 
 
-def _read(group: int, kind: int, frame: bytes) -> Message | M3uaError:
+def _read(message_class: int, message_type: int, frame: bytes) -> Message | M3uaError:
     try:
-        message = Message(Kind(group << 8 | kind))
+        message = Message(MessageType(message_class << 8 | message_type))
     except ValueError:
-        known = any(k >> 8 == group for k in Kind)
-        code = Error.UNSUPPORTED_TYPE if known else Error.UNSUPPORTED_CLASS
-        return M3uaError(code, f"class {group} type {kind}", False)
+        known = any(known_type >> 8 == message_class for known_type in MessageType)
+        code = ErrorCode.UNSUPPORTED_TYPE if known else ErrorCode.UNSUPPORTED_CLASS
+        return M3uaError(code, f"class {message_class} type {message_type}", False)
     at = HEADER.size
     while at < len(frame):
         if at + TLV.size > len(frame):
-            return M3uaError(Error.PARAMETER_FIELD, "half a parameter", False)
+            return M3uaError(ErrorCode.PARAMETER_FIELD, "half a parameter", False)
         tag, length = TLV.unpack_from(frame, at)
         if length < TLV.size or at + length > len(frame):
-            return M3uaError(Error.PARAMETER_FIELD, f"parameter {tag:#x} runs past the end", False)
+            return M3uaError(ErrorCode.PARAMETER_FIELD, f"parameter {tag:#x} runs past the end", False)
         message.parameters.setdefault(tag, frame[at + TLV.size : at + length])
         at += -(-length // 4) * 4  # padding is not counted in the parameter's length
     return message
@@ -156,38 +156,47 @@
         TLV.pack(tag, TLV.size + len(value)) + value + bytes(-len(value) % 4)
         for tag, value in message.parameters.items()
     )
-    return HEADER.pack(VERSION, 0, message.kind >> 8, message.kind & 0xFF, HEADER.size + len(body)) + body
+    return (
+        HEADER.pack(
+            VERSION, 0, message.message_type >> 8, message.message_type & 0xFF, HEADER.size + len(body)
+        )
+        + body
+    )
 
 
-def number(value: int) -> bytes:
+def encode_uint32(value: int) -> bytes:
     return value.to_bytes(4, "big")
 
 
-def error(code: Error, text: str = "") -> bytes:
-    parameters = {int(Tag.ERROR_CODE): number(code)}
+def encode_error(code: ErrorCode, text: str = "") -> bytes:
+    parameters = {int(ParameterTag.ERROR_CODE): encode_uint32(code)}
     if text:
-        parameters[Tag.DIAGNOSTIC] = text.encode()[:128]
-    return encode(Message(Kind.ERR, parameters))
+        parameters[ParameterTag.DIAGNOSTIC] = text.encode()[:128]
+    return encode(Message(MessageType.ERR, parameters))
 
 
-def data(label: ProtocolData, context: int | None = None, appearance: int | None = None) -> bytes:
+def encode_data(
+    label: ProtocolData, routing_context: int | None = None, network_appearance: int | None = None
+) -> bytes:
     parameters: dict[int, bytes] = {}
-    if appearance is not None:
-        parameters[Tag.NETWORK_APPEARANCE] = number(appearance)
-    if context is not None:
-        parameters[Tag.ROUTING_CONTEXT] = number(context)
+    if network_appearance is not None:
+        parameters[ParameterTag.NETWORK_APPEARANCE] = encode_uint32(network_appearance)
+    if routing_context is not None:
+        parameters[ParameterTag.ROUTING_CONTEXT] = encode_uint32(routing_context)
     head = PROTOCOL_DATA_HEAD.pack(
-        label.opc, label.dpc, label.service, label.network, label.priority, label.sls
+        label.opc, label.dpc, label.service_indicator, label.network_indicator, label.priority, label.sls
     )
-    parameters[Tag.PROTOCOL_DATA] = head + label.user
-    return encode(Message(Kind.DATA, parameters))
+    parameters[ParameterTag.PROTOCOL_DATA] = head + label.user_data
+    return encode(Message(MessageType.DATA, parameters))
 
 
-def read_data(message: Message) -> ProtocolData:
-    value = message.parameters.get(Tag.PROTOCOL_DATA)
+def decode_data(message: Message) -> ProtocolData:
+    value = message.parameters.get(ParameterTag.PROTOCOL_DATA)
     if value is None:
-        raise M3uaError(Error.MISSING_PARAMETER, "no protocol data", False)
+        raise M3uaError(ErrorCode.MISSING_PARAMETER, "no protocol data", False)
     if len(value) < PROTOCOL_DATA_HEAD.size:
-        raise M3uaError(Error.PARAMETER_FIELD, "protocol data without a label", False)
-    opc, dpc, service, network, priority, sls = PROTOCOL_DATA_HEAD.unpack_from(value)
-    return ProtocolData(opc, dpc, value[PROTOCOL_DATA_HEAD.size :], service, network, priority, sls)
+        raise M3uaError(ErrorCode.PARAMETER_FIELD, "protocol data without a label", False)
+    opc, dpc, service_indicator, network_indicator, priority, sls = PROTOCOL_DATA_HEAD.unpack_from(value)
+    return ProtocolData(
+        opc, dpc, value[PROTOCOL_DATA_HEAD.size :], service_indicator, network_indicator, priority, sls
+    )
--- a/tests/live.py
+++ b/tests/live.py
@@ -22,12 +22,12 @@
 from arrowrail.run.config import Config
 from arrowrail.run.main import Program
 from arrowrail.wire.binary import messages as binary
-from arrowrail.wire.bus.messages import event_of
+from arrowrail.wire.bus.messages import event_from_json
 from arrowrail.wire.m3ua import messages as m3ua
-from arrowrail.wire.m3ua.isup import Isup, IsupType
+from arrowrail.wire.m3ua.isup import IsupMessage, IsupMessageType
 from arrowrail.wire.m3ua.isup import decode as read_isup
 from arrowrail.wire.m3ua.isup import encode as write_isup
-from arrowrail.wire.m3ua.messages import Kind, Message, ProtocolData, Tag
+from arrowrail.wire.m3ua.messages import Message, MessageType, ParameterTag, ProtocolData
 from arrowrail.wire.sip import messages as sip
 from tests.test_simhost import INFO
 from trackhatch.simhost import read_settings
@@ -233,7 +233,7 @@
     info: dict[str, Any] | None = None, defects: int = 0, per_desk: int = 1,
 ) -> Iterator[Running]:  # fmt: skip
     """A program that was told of these desk exchanges; at the end no check of the core may have fired."""
-    known = (event_of(news(1, *targets, whole=True)),)
+    known = (event_from_json(news(1, *targets, whole=True)),)
     config = Config(
         "n0", "127.0.0.1:0", 7, sockets, bus, known, 1, read_settings(info or settings()), 500_000_000
     )
@@ -281,38 +281,40 @@
         super().__init__(sock, m3ua.M3uaParser().feed)
         self.own, self.other = own, other
 
-    def say(self, kind: Kind, **parameters: bytes) -> None:
-        self.sock.sendall(m3ua.encode(Message(kind, {Tag[k]: v for k, v in parameters.items()})))
+    def say(self, message_type: MessageType, **parameters: bytes) -> None:
+        self.sock.sendall(
+            m3ua.encode(Message(message_type, {ParameterTag[k]: v for k, v in parameters.items()}))
+        )
 
-    def wants(self, kind: Kind) -> m3ua.Message:
-        return self.take(lambda m: isinstance(m, Message) and m.kind == kind)
+    def wants(self, message_type: MessageType) -> m3ua.Message:
+        return self.take(lambda m: isinstance(m, Message) and m.message_type == message_type)
 
     def up(self) -> M3uaPeer:
         """The handshake of a client."""
-        self.say(Kind.ASPUP)
-        self.wants(Kind.ASPUP_ACK)
-        self.say(Kind.ASPAC)
-        self.wants(Kind.ASPAC_ACK)
+        self.say(MessageType.ASPUP)
+        self.wants(MessageType.ASPUP_ACK)
+        self.say(MessageType.ASPAC)
+        self.wants(MessageType.ASPAC_ACK)
         return self
 
     def let_up(self) -> M3uaPeer:
         """The handshake of a desk exchange."""
-        self.wants(Kind.ASPUP)
-        self.say(Kind.ASPUP_ACK)
-        self.wants(Kind.ASPAC)
-        self.say(Kind.ASPAC_ACK)
+        self.wants(MessageType.ASPUP)
+        self.say(MessageType.ASPUP_ACK)
+        self.wants(MessageType.ASPAC)
+        self.say(MessageType.ASPAC_ACK)
         return self
 
-    def frame(self, message: Isup) -> bytes:
-        return m3ua.data(ProtocolData(self.own, self.other, write_isup(message)))
+    def frame(self, message: IsupMessage) -> bytes:
+        return m3ua.encode_data(ProtocolData(self.own, self.other, write_isup(message)))
 
-    def send(self, cic: int, kind: IsupType, **more: Any) -> None:
-        self.sock.sendall(self.frame(Isup(cic, kind, **more)))
+    def send(self, cic: int, message_type: IsupMessageType, **more: Any) -> None:
+        self.sock.sendall(self.frame(IsupMessage(cic, message_type, **more)))
 
-    def isup(self, kind: IsupType, cic: int | None = None) -> Isup:
+    def isup(self, message_type: IsupMessageType, cic: int | None = None) -> IsupMessage:
         while True:
-            message = read_isup(m3ua.read_data(self.wants(Kind.DATA)).user)
-            if message is not None and message.kind == kind and cic in (None, message.cic):
+            message = read_isup(m3ua.decode_data(self.wants(MessageType.DATA)).user_data)
+            if message is not None and message.message_type == message_type and cic in (None, message.cic):
                 return message
 
 
--- a/tests/test_live_m3ua.py
+++ b/tests/test_live_m3ua.py
@@ -13,13 +13,13 @@
 
 from arrowrail.config.records import Controller
 from arrowrail.wire.binary import messages as binary
+from arrowrail.wire.m3ua import association as m3ua_association
 from arrowrail.wire.m3ua import causes
-from arrowrail.wire.m3ua import front as m3ua_front
-from arrowrail.wire.m3ua import link as m3ua_link
+from arrowrail.wire.m3ua import frontend as m3ua_frontend
 from arrowrail.wire.m3ua import messages as m3ua
-from arrowrail.wire.m3ua.isup import Isup, IsupType
+from arrowrail.wire.m3ua.isup import IsupMessage, IsupMessageType
 from arrowrail.wire.m3ua.isup import decode as read_isup
-from arrowrail.wire.m3ua.messages import Error, Kind, Tag
+from arrowrail.wire.m3ua.messages import ErrorCode, MessageType, ParameterTag
 from tests.live import (
     BusStand,
     Caller,
@@ -33,7 +33,13 @@
     tell,
 )  # fmt: skip
 
-IAM, ACM, ANM, REL, RLC = IsupType.IAM, IsupType.ACM, IsupType.ANM, IsupType.REL, IsupType.RLC
+IAM, ACM, ANM, REL, RLC = (
+    IsupMessageType.IAM,
+    IsupMessageType.ACM,
+    IsupMessageType.ANM,
+    IsupMessageType.REL,
+    IsupMessageType.RLC,
+)
 OWN, CLIENT, DESK, OTHER = 1, 11, 21, 22
 CALL = "00000000000000a1"
 
@@ -53,7 +59,7 @@
 
 
 def client(run: Running) -> M3uaPeer:
-    front: Any = next(f for f in run.core.frontends if type(f).__name__ == "M3uaFront")
+    front: Any = next(f for f in run.core.frontends if type(f).__name__ == "M3uaFrontend")
     sock = Caller(front.listener.port).sock
     return M3uaPeer(sock, CLIENT, OWN).up()
 
@@ -69,7 +75,7 @@
         if self.sip is not None:
             self.sip.invite(f"{n:016x}", body=b"sdp")
         else:
-            self.m3ua.send(n, IAM, called="15")
+            self.m3ua.send(n, IAM, called_number="15")
 
     def answer(self) -> tuple[int, str]:
         """The next final answer: which call, and of what kind."""
@@ -77,7 +83,7 @@
             m = self.sip.take(lambda m: m.status >= 200 and m.cseq_method == "INVITE")
             return int(m.call_id, 16), {200: "stands", 503: "refused"}.get(m.status, "failed")
         final = _final(self.m3ua)
-        if final.kind == ANM:
+        if final.message_type == ANM:
             return final.cic, "stands"
         return final.cic, "refused" if final.cause in causes.REFUSED_CAUSES.values() else "failed"
 
@@ -96,8 +102,8 @@
         if self.sip is not None:
             self.sip.send("OPTIONS", "ee")
             assert self.sip.take().call_id == "ee"
-        self.m3ua.say(Kind.BEAT, HEARTBEAT=b"last")
-        assert self.m3ua.take().kind == Kind.BEAT_ACK
+        self.m3ua.say(MessageType.BEAT, HEARTBEAT=b"last")
+        assert self.m3ua.take().message_type == MessageType.BEAT_ACK
 
 
 def desk(port: Listening, point_code: int = DESK) -> M3uaPeer:
@@ -120,9 +126,9 @@
 
 def test_a_call_passes_both_ways_and_is_released_by_either_side() -> None:
     with both_sides() as (run, caller, peer):
-        caller.send(7, IAM, called="1234", uui=b"offer")
+        caller.send(7, IAM, called_number="1234", uui=b"offer")
         sent = peer.isup(IAM)
-        assert (sent.called, sent.uui) == ("1234", b"offer")
+        assert (sent.called_number, sent.uui) == ("1234", b"offer")
         peer.send(sent.cic, ACM)
         peer.send(sent.cic, ANM, uui=b"answer")
         caller.isup(ACM, 7)
@@ -131,7 +137,7 @@
         peer.isup(RLC, sent.cic)
         assert caller.isup(REL, 7).cause == 16
         caller.send(7, RLC)
-        caller.send(7, IAM, called="1234")  # the circuit is used again
+        caller.send(7, IAM, called_number="1234")  # the circuit is used again
         again = peer.isup(IAM)
         peer.send(again.cic, ANM)
         caller.isup(ANM, 7)
@@ -151,7 +157,7 @@
             sip = Caller(run.port)
             sip.invite(CALL, body=b"short")
         else:
-            caller.send(1, IAM, called="15")
+            caller.send(1, IAM, called_number="15")
         for _ in range(4 if cause == 47 else 1):  # a fault is no reason not to try the same way again
             peer.send(peer.isup(IAM).cic, REL, cause=cause)
         if over_sip:
@@ -169,7 +175,7 @@
         if over_sip:
             sip.invite(CALL, patience=150, body=b"sdp")
         else:
-            caller.send(1, IAM, called="15")
+            caller.send(1, IAM, called_number="15")
         out = peer.isup(IAM)
         if over_sip:
             assert sip.answer(CALL).status == 500
@@ -181,22 +187,22 @@
         run.until(lambda: not run.core.requests and run.core.decision_module.trunk_groups[1].free == 10)
 
 
-@pytest.mark.parametrize(("called", "cause"), [("9", 1), ("2", 34)])
-def test_a_number_without_a_route_is_refused(called: str, cause: int) -> None:
+@pytest.mark.parametrize(("called_number", "cause"), [("9", 1), ("2", 34)])
+def test_a_number_without_a_route_is_refused(called_number: str, cause: int) -> None:
     with both_sides() as (_run, caller, _peer):
-        caller.send(1, IAM, called=called)
+        caller.send(1, IAM, called_number=called_number)
         assert caller.isup(REL, 1).cause == cause
 
 
 def test_a_client_that_releases_early_or_goes_gives_its_set_up_up() -> None:
     with both_sides() as (run, caller, peer):
-        caller.send(1, IAM, called="15")
+        caller.send(1, IAM, called_number="15")
         first = peer.isup(IAM)
-        caller.send(1, IAM, called="15")  # sent again: no second call
+        caller.send(1, IAM, called_number="15")  # sent again: no second call
         caller.send(1, REL, cause=16)
         caller.isup(RLC, 1)
         assert peer.isup(REL, first.cic).cause == 16
-        caller.send(2, IAM, called="15")
+        caller.send(2, IAM, called_number="15")
         second = peer.isup(IAM)
         caller.sock.close()
         assert peer.isup(REL, second.cic).cause == 16
@@ -206,11 +212,11 @@
 def test_a_circuit_reset_by_either_side_cuts_what_is_on_it() -> None:
     with both_sides() as (run, caller, peer):
         for cic, resets in ((1, caller), (2, peer)):
-            caller.send(cic, IAM, called="15")
+            caller.send(cic, IAM, called_number="15")
             out = peer.isup(IAM)
             peer.send(out.cic, ANM)
             caller.isup(ANM, cic)
-            resets.send(cic if resets is caller else out.cic, IsupType.RSC)
+            resets.send(cic if resets is caller else out.cic, IsupMessageType.RSC)
             resets.isup(RLC)
             if resets is caller:
                 assert peer.isup(REL).cause == 16
@@ -221,19 +227,19 @@
 
 def test_a_call_that_a_desk_exchange_begins_is_rejected() -> None:
     with both_sides() as (_run, _caller, peer):
-        peer.send(9, IAM, called="15")
+        peer.send(9, IAM, called_number="15")
         assert peer.isup(REL, 9).cause == 29
 
 
 def test_a_standing_call_outlives_its_client_association() -> None:
     with both_sides() as (run, caller, peer):
-        caller.send(1, IAM, called="15")
+        caller.send(1, IAM, called_number="15")
         out = peer.isup(IAM)
         peer.send(out.cic, ANM)
         caller.isup(ANM, 1)
         caller.reset()
         front: Any = run.core.frontends[0]
-        run.until(lambda: len(front.links) == 0)
+        run.until(lambda: len(front.associations) == 0)
         peer.send(out.cic, REL, cause=16)
         run.until(lambda: not run.core.requests)
         assert client(run).isup(REL, 1).cause == 16
@@ -246,7 +252,7 @@
         binary_peer, m3ua_peer = sip_port.desk(), desk(m3ua_port)
         run.until(lambda: len([g for g in run.core.decision_module.trunk_groups.values() if g.size > 0]) == 2)
         caller, sip = client(run), Caller(run.port)
-        caller.send(1, IAM, called="12", uui=b"o")
+        caller.send(1, IAM, called_number="12", uui=b"o")
         sent = binary_peer.take(lambda m: m.kind == binary.SET_UP)
         assert (sent.class_name, sent.number, sent.session_description) == ("check", "12", b"o")
         tell(binary_peer, binary.ANSWER, f"{sent.call_id:016x}", session_description=b"a")
@@ -275,26 +281,33 @@
         caller.place(1)
         out = peer.isup(IAM)
         back: Any = run.core.backends["m3ua"]
-        stream = back.trunks[1].link.stream
+        stream = back.trunk_groups[1].association.stream
         beats = 0
         while run.look(lambda: stream.flushed):  # its echoes fill the way to the peer
-            peer.say(Kind.BEAT, HEARTBEAT=b"x" * 8000)
+            peer.say(MessageType.BEAT, HEARTBEAT=b"x" * 8000)
             beats += 1
             assert beats < 1000
-        half = peer.frame(Isup(out.cic, ANM, uui=b"answer"))
+        half = peer.frame(IsupMessage(out.cic, ANM, uui=b"answer"))
         peer.sock.sendall(half[:20])
         for cic in (2, 3, 4):
             caller.place(cic)
-        run.until(lambda: len([u for u in back.trunks[1].uses.values() if stream.is_unsent(u.call)]) == 3)
+        run.until(
+            lambda: (
+                len([u for u in back.trunk_groups[1].calls_by_cic.values() if stream.is_unsent(u.call_id)])
+                == 3
+            )
+        )
         bus.tell(news(3, line | {"state": "terminating"}))
         ended = sorted(caller.answer() for _ in range(3))  # at once: nothing had left
         assert ended == [(n, "refused") for n in (2, 3, 4)]
         peer.sock.sendall(half[20:])
         assert caller.answer() == (1, "stands")
-        peer.say(Kind.BEAT, HEARTBEAT=b"after")
+        peer.say(MessageType.BEAT, HEARTBEAT=b"after")
         message = peer.take()
-        while message.parameters.get(Tag.HEARTBEAT) != b"after":
-            assert message.kind == Kind.BEAT_ACK  # no set-up, and no release of one, came behind
+        while message.parameters.get(ParameterTag.HEARTBEAT) != b"after":
+            assert (
+                message.message_type == MessageType.BEAT_ACK
+            )  # no set-up, and no release of one, came behind
             message = peer.take()
         caller.nothing_more()
         assert len(run.core.requests) == 1
@@ -340,8 +353,8 @@
 
 def _final(caller: M3uaPeer) -> Any:
     while True:
-        message = read_isup(m3ua.read_data(caller.wants(Kind.DATA)).user)
-        if message is not None and message.kind in (ANM, REL):
+        message = read_isup(m3ua.decode_data(caller.wants(MessageType.DATA)).user_data)
+        if message is not None and message.message_type in (ANM, REL):
             return message
 
 
@@ -356,7 +369,7 @@
             )
         )
         caller = client(run)
-        caller.send(1, IAM, called="15")
+        caller.send(1, IAM, called_number="15")
         out = peer.isup(IAM)
         peer.reset()
         peer = desk(port)
@@ -376,48 +389,51 @@
 @pytest.mark.parametrize(
     ("sent", "code"),
     [
-        (m3ua.encode(m3ua.Message(Kind.ASPAC)), Error.UNEXPECTED_MESSAGE),
-        (m3ua.data(m3ua.ProtocolData(CLIENT, OWN, b"\1\0\x10\0")), Error.UNEXPECTED_MESSAGE),
-        (bytes.fromhex("0100630100000008"), Error.UNSUPPORTED_CLASS),
-        (bytes.fromhex("0200030100000008"), Error.INVALID_VERSION),
+        (m3ua.encode(m3ua.Message(MessageType.ASPAC)), ErrorCode.UNEXPECTED_MESSAGE),
+        (m3ua.encode_data(m3ua.ProtocolData(CLIENT, OWN, b"\1\0\x10\0")), ErrorCode.UNEXPECTED_MESSAGE),
+        (bytes.fromhex("0100630100000008"), ErrorCode.UNSUPPORTED_CLASS),
+        (bytes.fromhex("0200030100000008"), ErrorCode.INVALID_VERSION),
     ],
 )
-def test_errors_before_the_handshake(sent: bytes, code: Error) -> None:
+def test_errors_before_the_handshake(sent: bytes, code: ErrorCode) -> None:
     with running(operator=configured()) as run:
         front: Any = run.core.frontends[0]
         peer = M3uaPeer(Caller(front.listener.port).sock, CLIENT, OWN)
         peer.sock.sendall(sent)
-        assert peer.wants(Kind.ERR).number(Tag.ERROR_CODE) == code
-        if code != Error.INVALID_VERSION:
+        assert peer.wants(MessageType.ERR).uint32(ParameterTag.ERROR_CODE) == code
+        if code != ErrorCode.INVALID_VERSION:
             peer.up()  # the association goes on
         else:
             assert peer.closed()
 
 
 @pytest.mark.parametrize(
-    ("sent", "kind"),
+    ("sent", "message_type"),
     [
-        (m3ua.data(m3ua.ProtocolData(CLIENT, OWN, b"\1")), Kind.ERR),
-        (m3ua.data(m3ua.ProtocolData(CLIENT, OWN, b"\1\0\x10\0"), context=9), Kind.ERR),
-        (m3ua.data(m3ua.ProtocolData(CLIENT, OWN, b"\1\0\x10\0", service=3)), Kind.ERR),
-        (m3ua.data(m3ua.ProtocolData(CLIENT, 999, b"\1\0\x10\0")), Kind.DUNA),
-        (m3ua.encode(m3ua.Message(Kind.BEAT)), Kind.BEAT_ACK),
-        (m3ua.encode(m3ua.Message(Kind.ASPIA)), Kind.ASPIA_ACK),
-        (m3ua.encode(m3ua.Message(Kind.ASPDN)), Kind.ASPDN_ACK),
+        (m3ua.encode_data(m3ua.ProtocolData(CLIENT, OWN, b"\1")), MessageType.ERR),
+        (m3ua.encode_data(m3ua.ProtocolData(CLIENT, OWN, b"\1\0\x10\0"), routing_context=9), MessageType.ERR),
+        (
+            m3ua.encode_data(m3ua.ProtocolData(CLIENT, OWN, b"\1\0\x10\0", service_indicator=3)),
+            MessageType.ERR,
+        ),
+        (m3ua.encode_data(m3ua.ProtocolData(CLIENT, 999, b"\1\0\x10\0")), MessageType.DUNA),
+        (m3ua.encode(m3ua.Message(MessageType.BEAT)), MessageType.BEAT_ACK),
+        (m3ua.encode(m3ua.Message(MessageType.ASPIA)), MessageType.ASPIA_ACK),
+        (m3ua.encode(m3ua.Message(MessageType.ASPDN)), MessageType.ASPDN_ACK),
     ],
 )
-def test_management_messages_once_active(sent: bytes, kind: Kind) -> None:
+def test_management_messages_once_active(sent: bytes, message_type: MessageType) -> None:
     with both_sides() as (_run, caller, _peer):
         caller.sock.sendall(sent)
-        assert caller.take().kind == kind
+        assert caller.take().message_type == message_type
 
 
 def test_a_client_stalled_in_the_middle_of_a_message_holds_up_no_other() -> None:
     with both_sides() as (run, stalled, peer):
-        half = stalled.frame(Isup(1, IAM, called="15"))
+        half = stalled.frame(IsupMessage(1, IAM, called_number="15"))
         stalled.sock.sendall(half[:30])
         other = client(run)
-        other.send(2, IAM, called="15")
+        other.send(2, IAM, called_number="15")
         peer.send(peer.isup(IAM).cic, ANM)
         other.isup(ANM, 2)
         stalled.sock.sendall(half[30:])
@@ -429,7 +445,7 @@
     file = configured()
     with running(operator=replace(file, m3ua=replace(file.m3ua, heartbeat=100_000_000))) as run:
         peer = client(run)
-        assert peer.wants(Kind.BEAT).parameters[Tag.HEARTBEAT]
+        assert peer.wants(MessageType.BEAT).parameters[ParameterTag.HEARTBEAT]
         assert peer.closed()
 
 
@@ -440,7 +456,7 @@
         desk = M3uaPeer(ports[0].accept(), DESK, OWN).let_up()
         caller = client(run)
         run.until(lambda: run.core.decision_module.trunk_groups[1].size > 0)
-        caller.send(1, IAM, called="11")
+        caller.send(1, IAM, called_number="11")
         desk.send(desk.isup(IAM).cic, ANM)
         caller.isup(ANM, 1)
         program = run.program
@@ -452,7 +468,7 @@
                 and run.core.decision_module.trunk_groups[2].size > 0
             )
         )
-        caller.send(2, IAM, called="21")
+        caller.send(2, IAM, called_number="21")
         other.send(other.isup(IAM).cic, ANM)
         caller.isup(ANM, 2)
         run.look(lambda: program.reload(program.config, configured(both)))
@@ -462,8 +478,8 @@
 def test_peers_that_say_nothing_or_half_a_message_lose_their_places_to_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(m3ua_link, "UNFINISHED_NS", 600_000_000)
-    monkeypatch.setattr(m3ua_front, "MAX_CLIENTS", 3)
+    monkeypatch.setattr(m3ua_association, "UNFINISHED_NS", 600_000_000)
+    monkeypatch.setattr(m3ua_frontend, "MAX_CLIENTS", 3)
     port = Listening()
     with running(operator=configured(behind("m1", port, 1, DESK))) as run:
         peer, good = desk(port), client(run)
@@ -473,11 +489,11 @@
                 and run.core.decision_module.trunk_groups[1].size > 0
             )
         )
-        front: Any = next(f for f in run.core.frontends if type(f).__name__ == "M3uaFront")
+        front: Any = next(f for f in run.core.frontends if type(f).__name__ == "M3uaFrontend")
         silent = [Caller(front.listener.port) for _ in range(8)]
         silent[-1].sock.sendall(b"\1\0\3")
         assert all(s.closed() for s in silent)
-        good.send(1, IAM, called="15")
+        good.send(1, IAM, called_number="15")
         peer.send(peer.isup(IAM).cic, ANM)
         good.isup(ANM, 1)
         good.sock.sendall(b"\1\0\3")  # half a message, which BEATs could not end
@@ -496,7 +512,7 @@
                 and run.core.decision_module.trunk_groups[1].size > 0
             )
         )
-        good.send(1, IAM, called="15")
+        good.send(1, IAM, called_number="15")
         peer.send(peer.isup(IAM).cic, ANM)
         good.isup(ANM, 1)
         vanished = time.monotonic()
--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -404,7 +404,7 @@
 
 
 def test_a_silent_bus_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(bus_client, "SILENCE_NS", 100_000_000)
+    monkeypatch.setattr(bus_client, "SILENCE_TIMEOUT_NS", 100_000_000)
     bus = BusStand()
     with running(bus=bus.port.address):
         assert bus.accept() == 1
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -30,7 +30,7 @@
 from arrowrail.sidecar.main import Sidecar
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, Endpoint, EndpointEntry
 from arrowrail.wire.binary import messages as binary
-from arrowrail.wire.m3ua.isup import IsupType
+from arrowrail.wire.m3ua.isup import IsupMessageType
 from tests.live import SDP, Caller, Listening, M3uaPeer, release, set_up, tell, wait_until
 from tests.records.corpus import INVENTORY, LIFTS
 from trackhatch import interface
@@ -428,16 +428,16 @@
         import socket
 
         peer = M3uaPeer(socket.create_connection(("127.0.0.1", b.ports[1])), 5, 9).up()
-        peer.send(1, IsupType.IAM, called="0961", category=11, uui=b"d")
+        peer.send(1, IsupMessageType.IAM, called_number="0961", category=11, uui=b"d")
         m = links["k-1"].take(lambda m: m.kind == binary.SET_UP)
         assert m.class_name == "alarm"
         tell(links["k-1"], binary.ANSWER, f"{m.call_id:016x}", session_description=b"e")
-        assert peer.isup(IsupType.ANM, 1).uui == b"e"
-        peer.send(2, IsupType.IAM, called="0771", category=11, uui=b"d")
-        assert peer.isup(IsupType.REL, 2).cause == 1
+        assert peer.isup(IsupMessageType.ANM, 1).uui == b"e"
+        peer.send(2, IsupMessageType.IAM, called_number="0771", category=11, uui=b"d")
+        assert peer.isup(IsupMessageType.REL, 2).cause == 1
         for cic in range(3, 8):
-            peer.send(cic, IsupType.IAM, called="0961", category=11, uui=b"d")
-        over = peer.isup(IsupType.REL)
+            peer.send(cic, IsupMessageType.IAM, called_number="0961", category=11, uui=b"d")
+        over = peer.isup(IsupMessageType.REL)
         assert (over.cause, over.congestion) == (42, 1)
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -20,8 +20,15 @@
 from arrowrail.wire.etcd import messages as etcd
 from arrowrail.wire.m3ua import causes, isup
 from arrowrail.wire.m3ua import messages as m3ua
-from arrowrail.wire.m3ua.isup import Isup, IsupError, IsupType
-from arrowrail.wire.m3ua.messages import Error, Kind, M3uaError, Message, ProtocolData, Tag
+from arrowrail.wire.m3ua.isup import IsupError, IsupMessage, IsupMessageType
+from arrowrail.wire.m3ua.messages import (
+    ErrorCode,
+    M3uaError,
+    Message,
+    MessageType,
+    ParameterTag,
+    ProtocolData,
+)
 from arrowrail.wire.sip import messages as sip
 from arrowrail.wire.sip.frontend import read_invite
 
@@ -183,7 +190,7 @@
         b"HTTP/1.1 200 OK\r\n\r\ndata: {\n\n",
         b"HTTP/1.1 200 OK\r\n\r\ndata: []\n\n",
         b'HTTP/1.1 200 OK\r\n\r\ndata: {"topology":{"targets":[]}}\n\n',
-        b"HTTP/1.1 200 OK\r\n\r\ndata: " + b"x" * (bus.MAX_EVENT + 1),
+        b"HTTP/1.1 200 OK\r\n\r\ndata: " + b"x" * (bus.MAX_EVENT_SIZE + 1),
     ],
 )
 def test_bus_unreadable(answer: bytes) -> None:
@@ -193,36 +200,39 @@
 
 def test_a_bus_entry_that_makes_no_sense_hides_no_other_and_ends_none() -> None:
     bad = EVENT.replace(b'"targets":[', b'"targets":[{"uid":"w"},7,')
-    assert bus.read_event(bad.decode()) == bus.BusEvent(4, False, (TOLD,))
+    assert bus.parse_event(bad.decode()) == bus.BusEvent(4, False, (TOLD,))
 
 
 LABEL = ProtocolData(1, 2, b"\x05\x00\x10\x00", sls=3)
 
 
 def test_m3ua_header_and_padding() -> None:
-    data = m3ua.encode(Message(Kind.BEAT, {Tag.HEARTBEAT: b"12345"}))
+    data = m3ua.encode(Message(MessageType.BEAT, {ParameterTag.HEARTBEAT: b"12345"}))
     assert data.hex() == "0100030300000014" + "00090009" + "3132333435000000"
-    full = data + m3ua.data(LABEL, 100, 7)
+    full = data + m3ua.encode_data(LABEL, 100, 7)
     beat, carried = both_ways(lambda: m3ua.M3uaParser().feed, full)
-    assert beat.parameters == {Tag.HEARTBEAT: b"12345"}
-    assert (carried.number(Tag.ROUTING_CONTEXT), carried.number(Tag.NETWORK_APPEARANCE)) == (100, 7)
-    assert m3ua.read_data(carried) == LABEL
+    assert beat.parameters == {ParameterTag.HEARTBEAT: b"12345"}
+    assert (
+        carried.uint32(ParameterTag.ROUTING_CONTEXT),
+        carried.uint32(ParameterTag.NETWORK_APPEARANCE),
+    ) == (100, 7)
+    assert m3ua.decode_data(carried) == LABEL
 
 
 @pytest.mark.parametrize(
     ("raw", "code", "fatal"),
     [
-        ("0200030300000008", Error.INVALID_VERSION, True),
-        ("0100030300000007", Error.PROTOCOL_ERROR, True),
-        ("0100030300010000", Error.PROTOCOL_ERROR, True),
-        ("0100630100000008", Error.UNSUPPORTED_CLASS, False),
-        ("0100036300000008", Error.UNSUPPORTED_TYPE, False),
-        ("010003030000000c00090003", Error.PARAMETER_FIELD, False),
-        ("010003030000000c00090010", Error.PARAMETER_FIELD, False),
+        ("0200030300000008", ErrorCode.INVALID_VERSION, True),
+        ("0100030300000007", ErrorCode.PROTOCOL_ERROR, True),
+        ("0100030300010000", ErrorCode.PROTOCOL_ERROR, True),
+        ("0100630100000008", ErrorCode.UNSUPPORTED_CLASS, False),
+        ("0100036300000008", ErrorCode.UNSUPPORTED_TYPE, False),
+        ("010003030000000c00090003", ErrorCode.PARAMETER_FIELD, False),
+        ("010003030000000c00090010", ErrorCode.PARAMETER_FIELD, False),
     ],
 )
-def test_m3ua_malformed(raw: str, code: Error, fatal: bool) -> None:
-    follow = m3ua.encode(Message(Kind.ASPUP))
+def test_m3ua_malformed(raw: str, code: ErrorCode, fatal: bool) -> None:
+    follow = m3ua.encode(Message(MessageType.ASPUP))
     found = m3ua.M3uaParser().feed(bytes.fromhex(raw) + follow)
     assert isinstance(found[0], M3uaError) and (found[0].code, found[0].fatal) == (code, fatal)
     assert len(found) == (1 if fatal else 2)  # the next message is read where its start is known
@@ -231,16 +241,16 @@
 @pytest.mark.parametrize(
     ("message", "raw"),
     [
-        (Isup(5, IsupType.IAM, 0x0B, 3, "09921"), "0500010060010b03020005831090290" + "1"),
-        (Isup(0xFFF, IsupType.ANM, 0, 0, uui=b"ab"), "ff0f09012003046162" + "00"),
-        (Isup(1, IsupType.ACM, 0, 0), "010006161400"),
-        (Isup(2, IsupType.REL, 0, 0, cause=34, congestion=1), "02000c02040280a227010100"),
-        (Isup(3, IsupType.RLC, 0, 0), "03001000"),
-        (Isup(3, IsupType.RSC, 0, 0), "030012"),
-        (Isup(4, IsupType.IAM, 10, 0, "ABCDE0", uui=b"x" * 254), ""),
+        (IsupMessage(5, IsupMessageType.IAM, 0x0B, 3, "09921"), "0500010060010b03020005831090290" + "1"),
+        (IsupMessage(0xFFF, IsupMessageType.ANM, 0, 0, uui=b"ab"), "ff0f09012003046162" + "00"),
+        (IsupMessage(1, IsupMessageType.ACM, 0, 0), "010006161400"),
+        (IsupMessage(2, IsupMessageType.REL, 0, 0, cause=34, congestion=1), "02000c02040280a227010100"),
+        (IsupMessage(3, IsupMessageType.RLC, 0, 0), "03001000"),
+        (IsupMessage(3, IsupMessageType.RSC, 0, 0), "030012"),
+        (IsupMessage(4, IsupMessageType.IAM, 10, 0, "ABCDE0", uui=b"x" * 254), ""),
     ],
 )
-def test_isup_round_trip(message: Isup, raw: str) -> None:
+def test_isup_round_trip(message: IsupMessage, raw: str) -> None:
     data = isup.encode(message)
     assert isup.decode(data) == message
     if raw:
@@ -258,7 +268,7 @@
 def test_isup_passes_over_what_is_no_basic_call_and_carries_no_half_description() -> None:
     assert isup.decode(bytes.fromhex("010017")) is None
     with pytest.raises(IsupError):
-        isup.encode(Isup(1, IsupType.ANM, uui=b"x" * 255))
+        isup.encode(IsupMessage(1, IsupMessageType.ANM, uui=b"x" * 255))
 
 
 @pytest.mark.parametrize(
@@ -276,11 +286,11 @@
     ],
 )
 def test_causes_of_answers(answer: FinalResponse, cause: int) -> None:
-    assert causes.cause_of(answer) == cause
+    assert causes.release_cause(answer) == cause
 
 
 def test_no_cause_tells_a_client_both_refused_and_failed() -> None:
-    failed = {*causes.FAILED_CAUSES.values(), causes.FAILED_OTHERWISE}
+    failed = {*causes.FAILED_CAUSES.values(), causes.DEFAULT_FAILED_CAUSE}
     assert failed.isdisjoint(causes.REFUSED_CAUSES.values())
 
 
@@ -296,7 +306,7 @@
     ],
 )
 def test_causes_from_desk_exchanges(cause: int, outcome: str, number: int, stood: str) -> None:
-    ended = causes.ended_by(cause)
+    ended = causes.release_outcome(cause)
     assert (ended.before_answer, ended.cause, ended.after_answer) == (outcome, number, stood)
 
 
@@ -314,20 +324,20 @@
     body = orjson.dumps(
         {"header": {"revision": "7"}, "kvs": [kv("/d/u", ENTRY), kv("/d/bad", {"state": "?"})]}
     )
-    assert etcd.read_range(body) == etcd.News(7, (TOLD,))
+    assert etcd.read_range(body) == etcd.ListUpdate(7, (TOLD,))
     events = [{"kv": kv("/d/u", ENTRY)}, {"type": "DELETE", "kv": {"key": kv("/d/w", 0)["key"]}}]
     line = orjson.dumps({"result": {"header": {"revision": "9"}, "events": events}}) + b"\n"
     created = orjson.dumps({"result": {"header": {"revision": "7"}, "created": True}}) + b"\n"
     found = both_ways(lambda: etcd.WatchParser("/d/").feed, created + line)
-    assert found[0] == etcd.News(7, ())
-    assert found[1].lines == (TOLD, EndpointEntry("w", "", "", -1, "terminated", 0))
+    assert found[0] == etcd.ListUpdate(7, ())
+    assert found[1].entries == (TOLD, EndpointEntry("w", "", "", -1, "terminated", 0))
 
 
 @pytest.mark.parametrize(
     ("line", "failure"),
     [
-        ({"result": {"canceled": True, "compact_revision": "9"}}, etcd.Compacted),
-        ({"result": {"header": {"revision": "1"}, "canceled": True}}, etcd.Compacted),
+        ({"result": {"canceled": True, "compact_revision": "9"}}, etcd.WatchCanceled),
+        ({"result": {"header": {"revision": "1"}, "canceled": True}}, etcd.WatchCanceled),
         ({"error": {"message": "no"}}, etcd.EtcdError),
         ({"result": {}}, etcd.EtcdError),
     ],
