--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,21 +9,28 @@
 import orjson
 import pytest
 
-from arrowrail.core.requests import FAILED, REFUSED, Answer, Offer
-from arrowrail.state.deadlines import Deadlines
+from arrowrail.core.requests import FAILED, REFUSED, FinalResponse, SetUpParams
 from arrowrail.state.endpoints import EndpointEntry, EndpointRegistry
 from arrowrail.state.slots import SlotTable
+from arrowrail.state.timers import TimerQueue
+from arrowrail.wire.binary import messages as binary
+from arrowrail.wire.binary.messages import BinaryError, BinaryMessage
+from arrowrail.wire.binary.outcomes import read_release
 from arrowrail.wire.bus import messages as bus
-from arrowrail.wire.desk import binary
-from arrowrail.wire.desk.binary import BinaryError, DeskMessage
-from arrowrail.wire.desk.outcomes import read_release
 from arrowrail.wire.etcd import messages as etcd
 from arrowrail.wire.m3ua import causes, isup
 from arrowrail.wire.m3ua import messages as m3ua
-from arrowrail.wire.m3ua.isup import Isup, IsupError, IsupType
-from arrowrail.wire.m3ua.messages import Error, Kind, M3uaError, Message, ProtocolData, Tag
+from arrowrail.wire.m3ua.isup import IsupError, IsupMessage, IsupMessageType
+from arrowrail.wire.m3ua.messages import (
+    ErrorCode,
+    M3uaError,
+    Message,
+    MessageType,
+    ParameterTag,
+    ProtocolData,
+)
 from arrowrail.wire.sip import messages as sip
-from arrowrail.wire.sip.front import read_invite
+from arrowrail.wire.sip.frontend import read_invite
 
 
 def both_ways(make: Callable[[], Callable[[bytes], Any]], data: bytes) -> list[Any]:
@@ -76,10 +83,12 @@
 @pytest.mark.parametrize(
     ("changes", "uri", "expected"),
     [
-        ({}, "sip:7f@net", Offer("9b1f03aa5c7e2d41", "voice", "7f", 0x7F, 2, 3, 1_500_000_001, b"x")),
+        ({}, "sip:7f@net", SetUpParams("9b1f03aa5c7e2d41", "voice", "7f", 0x7F, 2, 3, 1_500_000_001, b"x")),
         (
             {"x-facts": "dest:1;via:4;transit:1;again:1", "x-retry": "1"}, "sip:0a@net",
-            Offer("9b1f03aa5c7e2d41", "voice", "0a", 10, 1, 1, 1_500_000_001, b"x", True, True, True, 4),
+            SetUpParams(
+                "9b1f03aa5c7e2d41", "voice", "0a", 10, 1, 1, 1_500_000_001, b"x", True, True, True, 4
+            ),
         ),
         ({"x-facts": "width:1"}, "sip:7f@net", None),
         ({"x-facts": "dest:x"}, "sip:7f@net", None),
@@ -89,7 +98,7 @@
         ({}, "sip:nobody@net", None),
     ],
 )  # fmt: skip
-def test_invite_fields(changes: dict[str, Any], uri: str, expected: Offer | None) -> None:
+def test_invite_fields(changes: dict[str, Any], uri: str, expected: SetUpParams | None) -> None:
     headers = {k: v for k, v in (INVITE | changes).items() if v is not None}
     message = sip.SipMessage("INVITE", uri, headers=headers, body=b"x")
     if expected is not None:
@@ -102,15 +111,17 @@
 @pytest.mark.parametrize(
     "message",
     [
-        DeskMessage(binary.SET_UP, 5, class_name="voice", number="7f", wait_ms=9, description=b"\0\xff"),
-        DeskMessage(binary.ANSWER, 2**64 - 1, description=b"d" * 16000),
-        DeskMessage(binary.RELEASE, 1, cause=34, note="processor_full", told_wait_ms=1500),
-        DeskMessage(binary.GROUP, 0, free=3.0, size=7.0),
-        DeskMessage(binary.TESTED, 0, cause=1),
-        DeskMessage(binary.RELEASE_HEARD, 8),
+        BinaryMessage(
+            binary.SET_UP, 5, class_name="voice", number="7f", timeout_ms=9, session_description=b"\0\xff"
+        ),
+        BinaryMessage(binary.ANSWER, 2**64 - 1, session_description=b"d" * 16000),
+        BinaryMessage(binary.RELEASE, 1, cause=34, reason="processor_full", retry_after_ms=1500),
+        BinaryMessage(binary.GROUP_STATE, 0, free=3.0, size=7.0),
+        BinaryMessage(binary.PROBE_RESULT, 0, cause=1),
+        BinaryMessage(binary.RELEASE_ACK, 8),
     ],
 )
-def test_binary_round_trip(message: DeskMessage) -> None:
+def test_binary_round_trip(message: BinaryMessage) -> None:
     data = binary.encode(message)
     assert both_ways(lambda: binary.BinaryParser().feed, data * 2) == [message, message]
     assert int.from_bytes(data[:2], "big") == len(data) - 2
@@ -133,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cause", "note", "wait", "outcome", "number", "stood"),
+    ("cause", "reason", "wait", "outcome", "number", "stood"),
     [
         (34, "group_full", 0, "turned_away", 1, "served"),
         (34, "tandem_refused", 0, "turned_away", 2, "served"),
@@ -146,9 +157,9 @@
         (16, "", 0, "server_error", 0, "served"),
     ],
 )
-def test_binary_releases(cause: int, note: str, wait: int, outcome: str, number: int, stood: str) -> None:
-    ended = read_release(DeskMessage(binary.RELEASE, 1, cause=cause, note=note, told_wait_ms=wait))
-    assert (ended.outcome, ended.cause, ended.stood) == (outcome, number, stood)
+def test_binary_releases(cause: int, reason: str, wait: int, outcome: str, number: int, stood: str) -> None:
+    ended = read_release(BinaryMessage(binary.RELEASE, 1, cause=cause, reason=reason, retry_after_ms=wait))
+    assert (ended.before_answer, ended.cause, ended.after_answer) == (outcome, number, stood)
 
 
 EVENT = (
@@ -179,7 +190,7 @@
         b"HTTP/1.1 200 OK\r\n\r\ndata: {\n\n",
         b"HTTP/1.1 200 OK\r\n\r\ndata: []\n\n",
         b'HTTP/1.1 200 OK\r\n\r\ndata: {"topology":{"targets":[]}}\n\n',
-        b"HTTP/1.1 200 OK\r\n\r\ndata: " + b"x" * (bus.MAX_EVENT + 1),
+        b"HTTP/1.1 200 OK\r\n\r\ndata: " + b"x" * (bus.MAX_EVENT_SIZE + 1),
     ],
 )
 def test_bus_unreadable(answer: bytes) -> None:
@@ -189,36 +200,39 @@
 
 def test_a_bus_entry_that_makes_no_sense_hides_no_other_and_ends_none() -> None:
     bad = EVENT.replace(b'"targets":[', b'"targets":[{"uid":"w"},7,')
-    assert bus.read_event(bad.decode()) == bus.BusEvent(4, False, (TOLD,))
+    assert bus.parse_event(bad.decode()) == bus.BusEvent(4, False, (TOLD,))
 
 
 LABEL = ProtocolData(1, 2, b"\x05\x00\x10\x00", sls=3)
 
 
 def test_m3ua_header_and_padding() -> None:
-    data = m3ua.encode(Message(Kind.BEAT, {Tag.HEARTBEAT: b"12345"}))
+    data = m3ua.encode(Message(MessageType.BEAT, {ParameterTag.HEARTBEAT: b"12345"}))
     assert data.hex() == "0100030300000014" + "00090009" + "3132333435000000"
-    full = data + m3ua.data(LABEL, 100, 7)
+    full = data + m3ua.encode_data(LABEL, 100, 7)
     beat, carried = both_ways(lambda: m3ua.M3uaParser().feed, full)
-    assert beat.parameters == {Tag.HEARTBEAT: b"12345"}
-    assert (carried.number(Tag.ROUTING_CONTEXT), carried.number(Tag.NETWORK_APPEARANCE)) == (100, 7)
-    assert m3ua.read_data(carried) == LABEL
+    assert beat.parameters == {ParameterTag.HEARTBEAT: b"12345"}
+    assert (
+        carried.uint32(ParameterTag.ROUTING_CONTEXT),
+        carried.uint32(ParameterTag.NETWORK_APPEARANCE),
+    ) == (100, 7)
+    assert m3ua.decode_data(carried) == LABEL
 
 
 @pytest.mark.parametrize(
     ("raw", "code", "fatal"),
     [
-        ("0200030300000008", Error.INVALID_VERSION, True),
-        ("0100030300000007", Error.PROTOCOL_ERROR, True),
-        ("0100030300010000", Error.PROTOCOL_ERROR, True),
-        ("0100630100000008", Error.UNSUPPORTED_CLASS, False),
-        ("0100036300000008", Error.UNSUPPORTED_TYPE, False),
-        ("010003030000000c00090003", Error.PARAMETER_FIELD, False),
-        ("010003030000000c00090010", Error.PARAMETER_FIELD, False),
+        ("0200030300000008", ErrorCode.INVALID_VERSION, True),
+        ("0100030300000007", ErrorCode.PROTOCOL_ERROR, True),
+        ("0100030300010000", ErrorCode.PROTOCOL_ERROR, True),
+        ("0100630100000008", ErrorCode.UNSUPPORTED_CLASS, False),
+        ("0100036300000008", ErrorCode.UNSUPPORTED_TYPE, False),
+        ("010003030000000c00090003", ErrorCode.PARAMETER_FIELD, False),
+        ("010003030000000c00090010", ErrorCode.PARAMETER_FIELD, False),
     ],
 )
-def test_m3ua_malformed(raw: str, code: Error, fatal: bool) -> None:
-    follow = m3ua.encode(Message(Kind.ASPUP))
+def test_m3ua_malformed(raw: str, code: ErrorCode, fatal: bool) -> None:
+    follow = m3ua.encode(Message(MessageType.ASPUP))
     found = m3ua.M3uaParser().feed(bytes.fromhex(raw) + follow)
     assert isinstance(found[0], M3uaError) and (found[0].code, found[0].fatal) == (code, fatal)
     assert len(found) == (1 if fatal else 2)  # the next message is read where its start is known
@@ -227,16 +241,16 @@
 @pytest.mark.parametrize(
     ("message", "raw"),
     [
-        (Isup(5, IsupType.IAM, 0x0B, 3, "09921"), "0500010060010b03020005831090290" + "1"),
-        (Isup(0xFFF, IsupType.ANM, 0, 0, uui=b"ab"), "ff0f09012003046162" + "00"),
-        (Isup(1, IsupType.ACM, 0, 0), "010006161400"),
-        (Isup(2, IsupType.REL, 0, 0, cause=34, congestion=1), "02000c02040280a227010100"),
-        (Isup(3, IsupType.RLC, 0, 0), "03001000"),
-        (Isup(3, IsupType.RSC, 0, 0), "030012"),
-        (Isup(4, IsupType.IAM, 10, 0, "ABCDE0", uui=b"x" * 254), ""),
+        (IsupMessage(5, IsupMessageType.IAM, 0x0B, 3, "09921"), "0500010060010b03020005831090290" + "1"),
+        (IsupMessage(0xFFF, IsupMessageType.ANM, 0, 0, uui=b"ab"), "ff0f09012003046162" + "00"),
+        (IsupMessage(1, IsupMessageType.ACM, 0, 0), "010006161400"),
+        (IsupMessage(2, IsupMessageType.REL, 0, 0, cause=34, congestion=1), "02000c02040280a227010100"),
+        (IsupMessage(3, IsupMessageType.RLC, 0, 0), "03001000"),
+        (IsupMessage(3, IsupMessageType.RSC, 0, 0), "030012"),
+        (IsupMessage(4, IsupMessageType.IAM, 10, 0, "ABCDE0", uui=b"x" * 254), ""),
     ],
 )
-def test_isup_round_trip(message: Isup, raw: str) -> None:
+def test_isup_round_trip(message: IsupMessage, raw: str) -> None:
     data = isup.encode(message)
     assert isup.decode(data) == message
     if raw:
@@ -254,29 +268,29 @@
 def test_isup_passes_over_what_is_no_basic_call_and_carries_no_half_description() -> None:
     assert isup.decode(bytes.fromhex("010017")) is None
     with pytest.raises(IsupError):
-        isup.encode(Isup(1, IsupType.ANM, uui=b"x" * 255))
+        isup.encode(IsupMessage(1, IsupMessageType.ANM, uui=b"x" * 255))
 
 
 @pytest.mark.parametrize(
     ("answer", "cause"),
     [
-        (Answer(REFUSED), 34),
-        (Answer(REFUSED, outcome="turned_away", cause=1), 34),
-        (Answer(REFUSED, outcome="turned_away", cause=3 + 16 * 700), 42),
-        (Answer(REFUSED, outcome="turned_away", cause=18), 42),
-        (Answer(REFUSED, outcome="server_error", cause=4), 17),
-        (Answer(REFUSED, outcome="no_connection"), 27),
-        (Answer(REFUSED, outcome="connection_lost"), 38),
-        (Answer(FAILED, outcome="no_answer"), 102),
-        (Answer(FAILED, outcome="turned_away", cause=1), 41),
+        (FinalResponse(REFUSED), 34),
+        (FinalResponse(REFUSED, outcome="turned_away", cause=1), 34),
+        (FinalResponse(REFUSED, outcome="turned_away", cause=3 + 16 * 700), 42),
+        (FinalResponse(REFUSED, outcome="turned_away", cause=18), 42),
+        (FinalResponse(REFUSED, outcome="server_error", cause=4), 17),
+        (FinalResponse(REFUSED, outcome="no_connection"), 27),
+        (FinalResponse(REFUSED, outcome="connection_lost"), 38),
+        (FinalResponse(FAILED, outcome="no_answer"), 102),
+        (FinalResponse(FAILED, outcome="turned_away", cause=1), 41),
     ],
 )
-def test_causes_of_answers(answer: Answer, cause: int) -> None:
-    assert causes.cause_of(answer) == cause
+def test_causes_of_answers(answer: FinalResponse, cause: int) -> None:
+    assert causes.release_cause(answer) == cause
 
 
 def test_no_cause_tells_a_client_both_refused_and_failed() -> None:
-    failed = {*causes.FAILED_CAUSES.values(), causes.FAILED_OTHERWISE}
+    failed = {*causes.FAILED_CAUSES.values(), causes.DEFAULT_FAILED_CAUSE}
     assert failed.isdisjoint(causes.REFUSED_CAUSES.values())
 
 
@@ -292,8 +306,8 @@
     ],
 )
 def test_causes_from_desk_exchanges(cause: int, outcome: str, number: int, stood: str) -> None:
-    ended = causes.ended_by(cause)
-    assert (ended.outcome, ended.cause, ended.stood) == (outcome, number, stood)
+    ended = causes.release_outcome(cause)
+    assert (ended.before_answer, ended.cause, ended.after_answer) == (outcome, number, stood)
 
 
 def kv(key: str, value: Any) -> dict[str, str]:
@@ -310,20 +324,20 @@
     body = orjson.dumps(
         {"header": {"revision": "7"}, "kvs": [kv("/d/u", ENTRY), kv("/d/bad", {"state": "?"})]}
     )
-    assert etcd.read_range(body) == etcd.News(7, (TOLD,))
+    assert etcd.read_range(body) == etcd.ListUpdate(7, (TOLD,))
     events = [{"kv": kv("/d/u", ENTRY)}, {"type": "DELETE", "kv": {"key": kv("/d/w", 0)["key"]}}]
     line = orjson.dumps({"result": {"header": {"revision": "9"}, "events": events}}) + b"\n"
     created = orjson.dumps({"result": {"header": {"revision": "7"}, "created": True}}) + b"\n"
     found = both_ways(lambda: etcd.WatchParser("/d/").feed, created + line)
-    assert found[0] == etcd.News(7, ())
-    assert found[1].lines == (TOLD, EndpointEntry("w", "", "", -1, "terminated", 0))
+    assert found[0] == etcd.ListUpdate(7, ())
+    assert found[1].entries == (TOLD, EndpointEntry("w", "", "", -1, "terminated", 0))
 
 
 @pytest.mark.parametrize(
     ("line", "failure"),
     [
-        ({"result": {"canceled": True, "compact_revision": "9"}}, etcd.Compacted),
-        ({"result": {"header": {"revision": "1"}, "canceled": True}}, etcd.Compacted),
+        ({"result": {"canceled": True, "compact_revision": "9"}}, etcd.WatchCanceled),
+        ({"result": {"header": {"revision": "1"}, "canceled": True}}, etcd.WatchCanceled),
         ({"error": {"message": "no"}}, etcd.EtcdError),
         ({"result": {}}, etcd.EtcdError),
     ],
@@ -347,30 +361,35 @@
 
 
 def test_deadlines_run_in_order_and_cancelled_ones_do_not() -> None:
-    deadlines, ran = Deadlines(), list[int]()
+    deadlines, ran = TimerQueue(), list[int]()
     for when in (30, 10, 20, 10):
-        deadlines.at(when, lambda when=when: ran.append(when))  # type: ignore[misc]
-    deadlines.at(15, lambda: ran.append(15)).cancel()
+        deadlines.schedule(when, lambda when=when: ran.append(when))  # type: ignore[misc]
+    deadlines.schedule(15, lambda: ran.append(15)).cancel()
 
     def again() -> None:
-        deadlines.at(5, lambda: ran.append(5))
+        deadlines.schedule(5, lambda: ran.append(5))
 
     def fails() -> None:
         raise RuntimeError("a fault that must not keep the others from running")
 
-    deadlines.at(5, fails)
-    deadlines.at(10, again)  # set while others run: for the next turn, however early it is
+    deadlines.schedule(5, fails)
+    deadlines.schedule(10, again)  # set while others run: for the next turn, however early it is
     deadlines.now = 20
     deadlines.run_due()
-    assert (ran, deadlines.next_at()) == ([10, 10, 20], 5)
+    assert (ran, deadlines.next_due_ns()) == ([10, 10, 20], 5)
 
 
 def test_the_registry_tells_changes_only_and_each_source_its_own() -> None:
     registry = EndpointRegistry()
     other = EndpointEntry("v", "a:2", "", 3, "in_service", 0)
-    assert [d.office for d in registry.apply(1, "bus", True, [TOLD])] == [1]
+    assert [d.endpoint_id for d in registry.apply(1, "bus", True, [TOLD])] == [1]
     assert registry.apply(2, "bus", False, [TOLD]) == []
-    assert [d.office for d in registry.apply(3, "etcd", True, [other])] == [2]
+    assert [d.endpoint_id for d in registry.apply(3, "etcd", True, [other])] == [2]
     (gone,) = registry.apply(4, "bus", True, [])
-    assert (gone.office, gone.told.state, gone.told.exchange, gone.drain_told_ns) == (1, "terminated", 2, 4)
+    assert (gone.endpoint_id, gone.entry.state, gone.entry.exchange, gone.drain_notified_ns) == (
+        1,
+        "terminated",
+        2,
+        4,
+    )
     assert registry.apply(5, "bus", False, [EndpointEntry("never", "", "", -1, "terminated", 0)]) == []
