--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -32,7 +32,7 @@
 from arrowrail.wire.binary import messages as binary
 from arrowrail.wire.m3ua.isup import IsupMessageType
 from tests.live import SDP, Caller, Listening, M3uaPeer, release, set_up, tell, wait_until
-from tests.records.corpus import INVENTORY, LIFTS
+from tests.records.corpus import INVENTORY_TEXT, LIFTS_TEXT
 from trackhatch import interface
 
 S, MS = 1_000_000_000, 1_000_000
@@ -42,8 +42,8 @@
 
 def compiled(
     tmp_path: Path,
-    inventory: str = INVENTORY,
-    application: str = LIFTS,
+    inventory: str = INVENTORY_TEXT,
+    application: str = LIFTS_TEXT,
     numbers: dict[str, int] | None = None,
 ) -> Compiled:
     (tmp_path / "inventory.rail").write_text(inventory)
@@ -180,7 +180,7 @@
     found = read_now("sidecar", tmp_path, "lifts", {"k-2": 7})
     assert found.faults == () and found.value is not None and found.value.lines[3].number == 7
     assert sidecar(tmp_path, "lfts", {}).codes == ("AR321",)
-    (tmp_path / "lifts.rail").write_text(LIFTS.replace("3s", "3"))
+    (tmp_path / "lifts.rail").write_text(LIFTS_TEXT.replace("3s", "3"))
     found = read_now("sidecar", tmp_path, "lifts", {})
     assert found.value is None and found.codes == ("AR203", "AR203")
     assert controller(tmp_path / "none.rail", []).codes == ("AR101",)
@@ -229,7 +229,7 @@
         self.sidecar.start()
 
     def compile(self, **edits: list[tuple[str, str]]) -> Compiled:
-        inventory, application = INVENTORY, LIFTS
+        inventory, application = INVENTORY_TEXT, LIFTS_TEXT
         for port, name in zip(("6101", "6102", "6103", "6104"), self.exchanges, strict=True):
             inventory = inventory.replace(f"127.0.0.1:{port}", self.exchanges[name].address)
         application = application.replace("5081", str(self.ports[0]))
@@ -464,8 +464,8 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    (tmp_path / "inventory.rail").write_text(INVENTORY)
-    (tmp_path / "lifts.rail").write_text(LIFTS.replace("5081", str(free_ports(1)[0])))
+    (tmp_path / "inventory.rail").write_text(INVENTORY_TEXT)
+    (tmp_path / "lifts.rail").write_text(LIFTS_TEXT.replace("5081", str(free_ports(1)[0])))
     return tmp_path
 
 
