--- a/arrowrail/core/__init__.py
+++ b/arrowrail/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests from any front, attempts on any back, and the decision module between them; knows no wire."""
+"""Call handling between frontends, the decision module and backends, independent of the protocols."""
--- a/arrowrail/core/engine.py
+++ b/arrowrail/core/engine.py
@@ -1,8 +1,8 @@
-"""Requests, attempts and outcomes: all that lies between any front, the decision module and any back.
+"""The call engine between the frontends, the decision module and the backends; independent of any protocol.
 
-Knows no wire.  Fronts offer requests and are handed final answers; backs are handed attempts and
-report what became of them.  What a turn of the loop brought goes to ``Controller.step`` as one batch, and the
-actions that come back are carried out after a last check of the rules.
+Frontends submit requests and receive their final responses; backends receive attempts and report their
+outcomes.  The events of one event loop iteration are passed to ``Controller.step`` as one batch.  A set-up
+that it returns is checked against the rules once more before it is sent.
 """
 
 from __future__ import annotations
@@ -40,299 +40,317 @@
 from trackhatch import Controller, interface
 
 RELEASE_AWAITED_OUTCOMES = ("no_answer", "connection_lost", "called_off")
-OVERDUE_GRACE_NS = 10 * MS  # past the deadline: inside the slack of every known site, and time for the module
-ENDED_CALL_RETENTION_NS = 30_000 * MS  # how long a late message for an ended call is recognised as such
-MAX_ENDED_CALLS = 65_536  # of them: a flood of refused set-ups must not take the memory
+# How long after its deadline a request without a final response is failed: the decision module gets time to
+# respond, and the response still falls within the tolerance of all known installations.
+OVERDUE_GRACE_NS = 10 * MS
+ENDED_CALL_RETENTION_NS = 30_000 * MS  # how long late messages of an ended call are recognized
+MAX_ENDED_CALLS = 65_536  # bounds the memory used during a flood of refused set-ups
 
 
 class Core:
-    def __init__(self, settings: interface.Settings, seed: int, deadlines: TimerQueue) -> None:
+    """Tracks requests, attempts and established calls, and executes the actions of the decision module."""
+
+    def __init__(self, settings: interface.Settings, seed: int, timers: TimerQueue) -> None:
         self.settings = settings
         self.decision_module = Controller(settings, seed)
-        self.timers = deadlines
+        self.timers = timers
         self.registry = EndpointRegistry()
         self.requests: SlotTable[Request] = SlotTable()
         self.request_handles: dict[str, int] = {}
-        self.ended_calls: dict[
-            str, int
-        ] = {}  # calls that are over, oldest first, until when they are remembered
+        self.ended_calls: dict[str, int] = {}  # expiry time by call id, oldest first
         self.backends: dict[str, Backend] = {}
         self.frontends: list[Frontend] = []
         self.events: list[interface.Event] = []
         self.list_received = False
         self.admission: AdmissionController | None = None
-        self.rejected: list[tuple[Request, FinalResponse]] = []  # by admission, to be answered this turn
-        self.unanswered = 0  # requests that are still owed their final answer
-        self.internal_errors = 0  # checks that fired: each is a defect of ours to find
+        self.rejected: list[tuple[Request, FinalResponse]] = []  # by admission control; not answered yet
+        self.unanswered = 0  # requests without a final response
+        self.internal_errors = 0  # failed internal checks; each indicates a bug in this program
         self.metrics = Metrics()
-        self.shutdown_plan: ShutdownPlan | None = None  # once told to end
-        self.established_calls: Counter[int] = Counter()  # calls that stand, by server
+        self.shutdown_plan: ShutdownPlan | None = None  # set once shutdown has begun
+        self.established_calls: Counter[int] = Counter()  # number of calls by endpoint id
 
     @property
     def now(self) -> int:
         return self.timers.now
 
-    # --- From the fronts --------------------------------------------------------------------------------
+    # --- Called by frontends ----------------------------------------------------------------------------
 
-    def submit(self, front: Frontend, line: int, offer: SetUpParams) -> bool:
-        """Take a request; false if its id is known already: it was taken once and is answered once."""
-        if offer.call_id in self.request_handles or offer.call_id in self.ended_calls:
+    def submit(self, frontend: Frontend, connection_id: int, params: SetUpParams) -> bool:
+        """Accept a request; false if its call id is already known, since each id gets one final response."""
+        if params.call_id in self.request_handles or params.call_id in self.ended_calls:
             return False
-        request = Request(offer, front, line)
+        request = Request(params, frontend, connection_id)
         request.handle = self.requests.add(request)
-        self.request_handles[offer.call_id] = request.handle
+        self.request_handles[params.call_id] = request.handle
         self.unanswered += 1
-        self.metrics.count("request.taken", offer.class_name)
-        call_event("request.taken", offer.call_id, "taken, class {kind}, answer due in {due_ms} ms",
-                   kind=offer.class_name, due_ms=(offer.deadline_ns - self.now) // MS)  # fmt: skip
+        self.metrics.count("request.taken", params.class_name)
+        call_event("request.taken", params.call_id, "taken, class {kind}, answer due in {due_ms} ms",
+                   kind=params.class_name, due_ms=(params.deadline_ns - self.now) // MS)  # fmt: skip
         handle = request.handle
         if self.shutdown_plan is not None:
             if not self.shutdown_plan.accepts_requests(self.now):
                 self.metrics.count("request.refused", SHUTDOWN)
                 self.rejected.append((request, FinalResponse(REFUSED, outcome=SHUTDOWN)))
                 return True
-            offer = request.params = replace(
-                offer, deadline_ns=self.shutdown_plan.answer_deadline_ns(offer.deadline_ns)
+            params = request.params = replace(
+                params, deadline_ns=self.shutdown_plan.answer_deadline_ns(params.deadline_ns)
             )
         if self.admission is not None:
             request.received_ns = self.now
-            offer, refusal = self.admission.admit(self.now, (id(front), line), offer)
-            request.params = offer
+            params, refusal = self.admission.admit(self.now, (id(frontend), connection_id), params)
+            request.params = params
             if refusal is not None:
                 self.rejected.append((request, refusal))
                 return True
             request.admitted = True
         request.deadline_timer = self.timers.schedule(
-            offer.deadline_ns, lambda: self._deadline_reached(handle)
+            params.deadline_ns, lambda: self._deadline_reached(handle)
         )
         self.events.append(
             interface.CallOffered(
-                offer.call_id, offer.route or offer.class_name, "", offer.destination, offer.number_key,
-                offer.width, offer.deadline_ns, 0, offer.in_transit, offer.redialled, offer.replaces_cut_call,
-                offer.via_exchange,
+                params.call_id, params.route or params.class_name, "", params.destination, params.number_key,
+                params.width, params.deadline_ns, 0, params.in_transit, params.redialled,
+                params.replaces_cut_call, params.via_exchange,
             )
         )  # fmt: skip
         return True
 
     def supports_class(self, class_name: str) -> bool:
-        """Whether calls of the class can be taken at all."""
+        """Whether set-ups of the class can be accepted at all."""
         return (
             self.admission.supports_class(class_name)
             if self.admission is not None
             else class_name in self.decision_module.call_classes
         )
 
-    def find(self, call: str) -> Request | None:
-        return self.requests.get(self.request_handles.get(call, -1))
+    def find(self, call_id: str) -> Request | None:
+        return self.requests.get(self.request_handles.get(call_id, -1))
 
-    def caller_abandoned(self, call: str) -> bool:
-        """The caller no longer waits: the attempt is given up and no answer is owed."""
-        request = self.find(call)
+    def caller_abandoned(self, call_id: str) -> bool:
+        """Cancel a set-up whose caller no longer waits; no final response is sent."""
+        request = self.find(call_id)
         if request is None or request.established:
             return False
-        self.events.append(interface.CallerGone(call))
+        self.events.append(interface.CallerGone(call_id))
         self.metrics.count("request.caller_gone")
-        call_event("request.caller_gone", call, "its caller no longer waits")
+        call_event("request.caller_gone", call_id, "the caller has abandoned the set-up")
         attempt = request.current_attempt
         if attempt is not None:
-            self._backend(attempt.endpoint).cancel_set_up(attempt.endpoint, call)
+            self._backend(attempt.endpoint).cancel_set_up(attempt.endpoint, call_id)
             self._attempt_ended(request, attempt, "called_off", 0, True)
         self._remove_request(request)
         return True
 
-    def caller_released(self, call: str) -> bool:
-        """The caller ends a call that stands, on whichever connection; false if there is none."""
-        request = self.find(call)
+    def caller_released(self, call_id: str) -> bool:
+        """Release a call at its caller's request; false if there is none.  Any connection may carry it."""
+        request = self.find(call_id)
         if request is None or request.current_attempt is None:
             return False
         attempt = request.current_attempt
         if not request.established:
-            return self.caller_abandoned(call)
-        self._backend(attempt.endpoint).release(attempt.endpoint, call, Q850_NORMAL_CLEARING)
+            return self.caller_abandoned(call_id)
+        self._backend(attempt.endpoint).release(attempt.endpoint, call_id, Q850_NORMAL_CLEARING)
         self._call_ended(request, attempt, "called_off", "caller")
         return True
 
-    # --- From the backs ---------------------------------------------------------------------------------
+    # --- Called by backends -----------------------------------------------------------------------------
 
-    def endpoint_answered(self, desk: Endpoint, call: str, description: bytes) -> None:
-        request = self.find(call)
+    def endpoint_answered(self, endpoint: Endpoint, call_id: str, session_description: bytes) -> None:
+        request = self.find(call_id)
         attempt = request.current_attempt if request is not None else None
-        if request is None and call not in self.ended_calls:
-            return  # nobody's: it came with another call's answer
-        if request is None or attempt is None or attempt.endpoint is not desk:
-            # A crossed answer: its call was cancelled, timed out or went elsewhere, and must not stand here.
+        if request is None and call_id not in self.ended_calls:
+            return  # unknown call id, received along with another call's answer
+        if request is None or attempt is None or attempt.endpoint is not endpoint:
+            # The attempt was cancelled, timed out or was followed by one at another endpoint before its
+            # answer arrived, so the call must not stay up here.
             self.metrics.count("answer.crossed")
-            call_event("answer.crossed", call, "an answer of {server} that came too late is released",
-                       server=desk.entry.uid)  # fmt: skip
-            self._backend(desk).release(desk, call, Q850_NORMAL_CLEARING)
+            call_event("answer.crossed", call_id, "late answer from {server}; the call is released there",
+                       server=endpoint.entry.uid)  # fmt: skip
+            self._backend(endpoint).release(endpoint, call_id, Q850_NORMAL_CLEARING)
             return
         if request.established:
-            return  # told twice
+            return  # duplicate answer
         request.established = True
         attempt.answered_ns = self.now
-        self.established_calls[desk.endpoint_id] += 1
+        self.established_calls[endpoint.endpoint_id] += 1
         self.unanswered -= 1
         self._set_up_finished(request)
         if self.admission is not None:
-            self.events += self.admission.attempt_ended(self.now, desk, "served", 0)
+            self.events += self.admission.attempt_ended(self.now, endpoint, "served", 0)
         self._cancel_timers(request, attempt)
         self.metrics.count("request.stands")
-        call_event("request.stands", call, "stands at {server} after attempt {attempt}",
-                   server=desk.entry.uid, attempt=attempt.number)  # fmt: skip
+        call_event("request.stands", call_id, "established at {server} by attempt {attempt}",
+                   server=endpoint.entry.uid, attempt=attempt.number)  # fmt: skip
         self.events.append(
-            interface.CallEstablished(call, desk.endpoint_id, attempt.number, self.now - attempt.sent_ns)
+            interface.CallEstablished(
+                call_id, endpoint.endpoint_id, attempt.number, self.now - attempt.sent_ns
+            )
         )
-        request.frontend.respond(request, FinalResponse(ESTABLISHED, description))
+        request.frontend.respond(request, FinalResponse(ESTABLISHED, session_description))
 
-    def endpoint_released(self, desk: Endpoint, call: str, ended: ReleaseOutcome, cause: int) -> None:
-        """The desk exchange refuses the set-up, or ends a call that stood."""
-        request = self.find(call)
+    def endpoint_released(
+        self, endpoint: Endpoint, call_id: str, outcome: ReleaseOutcome, cause: int
+    ) -> None:
+        """The endpoint has refused the set-up or released the established call."""
+        request = self.find(call_id)
         if request is None:
-            if call not in self.ended_calls:
-                # From before our restart: the caller still holds the call and has to hear of its end.
+            if call_id not in self.ended_calls:
+                # The call was established before this process restarted: its caller still holds it and has to
+                # be sent the release.
                 self.metrics.count("release.unknown_call")
-                call_event("release.unknown_call", call, "over at {server}, not known here; told to callers",
-                           server=desk.entry.uid)  # fmt: skip
-                self.ended_calls[call] = self.now + ENDED_CALL_RETENTION_NS
-                for front in self.frontends:
-                    front.release_unknown(call, cause)
+                call_event("release.unknown_call", call_id,
+                           "released by {server}, unknown here; passed on to callers",
+                           server=endpoint.entry.uid)  # fmt: skip
+                self.ended_calls[call_id] = self.now + ENDED_CALL_RETENTION_NS
+                for frontend in self.frontends:
+                    frontend.release_unknown(call_id, cause)
             return
         attempt = request.current_attempt
-        if attempt is None or attempt.endpoint is not desk:
-            return  # late news of an attempt that was given up
+        if attempt is None or attempt.endpoint is not endpoint:
+            return  # release of an attempt that was already cancelled
         if request.established:
             request.frontend.release(request, cause)
-            self._call_ended(request, attempt, ended.after_answer, "server")
+            self._call_ended(request, attempt, outcome.after_answer, "server")
         else:
-            self._attempt_ended(request, attempt, ended.before_answer, ended.cause, False)
+            self._attempt_ended(request, attempt, outcome.before_answer, outcome.cause, False)
 
-    def attempt_failed(self, desk: Endpoint, call: str, outcome: str, cause: int = 0) -> None:
-        """The back lost the attempt: never sent, or its connection broke before the answer."""
-        request = self.find(call)
+    def attempt_failed(self, endpoint: Endpoint, call_id: str, outcome: str, cause: int = 0) -> None:
+        """The attempt was never sent, or its connection failed before the answer."""
+        request = self.find(call_id)
         attempt = request.current_attempt if request is not None and not request.established else None
-        if request is not None and attempt is not None and attempt.endpoint is desk:
+        if request is not None and attempt is not None and attempt.endpoint is endpoint:
             self._attempt_ended(request, attempt, outcome, cause, False)
 
-    def endpoint_lost(self, desk: Endpoint, reason: str, before_ns: int = 0) -> None:
-        """The server is not there any more: what stood is over, what was out is lost.
+    def endpoint_lost(self, endpoint: Endpoint, reason: str, before_ns: int = 0) -> None:
+        """End all calls and attempts at an endpoint that is no longer there.
 
-        With ``before_ns``, only what was answered before that time, or sent where it is not answered: a
-        set-up may wait for a connection, and is answered by whoever is there when it comes up.  The server is
-        told as well, for where it is only out of reach it must not hold on to what is over here.
+        With ``before_ns``, only calls answered before that time and unanswered attempts sent before it: a
+        set-up may have been queued for a connection and be answered by the process that accepts it.  The
+        endpoint is sent the releases as well: if it is merely unreachable, it must not keep calls that are
+        over here.
         """
-        cut: list[str] = []
+        lost_calls: list[str] = []
         for request in self.requests:
             attempt = request.current_attempt
-            if attempt is None or attempt.endpoint is not desk:
+            if attempt is None or attempt.endpoint is not endpoint:
                 continue
             if 0 < before_ns <= (attempt.answered_ns or attempt.sent_ns):
                 continue
             if request.established:
-                cut.append(request.params.call_id)
-                self._backend(desk).release(desk, request.params.call_id, Q850_TEMPORARY_FAILURE)
+                lost_calls.append(request.params.call_id)
+                self._backend(endpoint).release(endpoint, request.params.call_id, Q850_TEMPORARY_FAILURE)
                 request.frontend.release(request, Q850_TEMPORARY_FAILURE)
                 self._call_ended(request, attempt, "connection_lost", reason)
             else:
                 self._cancel_attempt(request, attempt, "connection_lost")
-        if not cut:
+        if not lost_calls:
             return
         self.metrics.count("server.lost", reason)
-        event("server.lost", "{server} is lost ({reason}); {calls} calls that stood there are over: {ids}",
-              level="WARNING", server=desk.entry.uid, reason=reason, calls=len(cut),
-              ids=first_ids(cut))  # fmt: skip
+        event("server.lost", "{server} is lost ({reason}); its {calls} established calls are released: {ids}",
+              level="WARNING", server=endpoint.entry.uid, reason=reason, calls=len(lost_calls),
+              ids=first_ids(lost_calls))  # fmt: skip
 
-    def release_all(self, front: Frontend, cause: int) -> int:
-        """Calls that stand for a front whose callers have gone for good: released toward the exchanges."""
+    def release_all(self, frontend: Frontend, cause: int) -> int:
+        """Release a frontend's established calls toward the endpoints: its callers are gone for good."""
         released = 0
         for request in self.requests:
             attempt = request.current_attempt
-            if request.frontend is front and request.established and attempt is not None:
+            if request.frontend is frontend and request.established and attempt is not None:
                 self._backend(attempt.endpoint).release(attempt.endpoint, request.params.call_id, cause)
                 self._call_ended(request, attempt, "called_off", "orphaned")
                 released += 1
         return released
 
-    def has_attempt_at(self, call: str, desk: Endpoint) -> bool:
-        """Whether an attempt of the call is out, or stands, at that server."""
-        request = self.find(call)
+    def has_attempt_at(self, call_id: str, endpoint: Endpoint) -> bool:
+        """Whether the call's pending or established attempt is at that endpoint."""
+        request = self.find(call_id)
         return (
             request is not None
             and request.current_attempt is not None
-            and request.current_attempt.endpoint is desk
+            and request.current_attempt.endpoint is endpoint
         )
 
-    def attempt_sent_ns(self, call: str) -> int:
-        """When the attempt of a call that is out, or stands, was sent; 0 where there is none."""
-        request = self.find(call)
+    def attempt_sent_ns(self, call_id: str) -> int:
+        """When the call's pending or established attempt was sent; 0 if there is none."""
+        request = self.find(call_id)
         return (
             request.current_attempt.sent_ns
             if request is not None and request.current_attempt is not None
             else 0
         )
 
-    def trunk_group_changed(self, desk: Endpoint, free: float, size: float) -> None:
+    def trunk_group_changed(self, endpoint: Endpoint, free: float, size: float) -> None:
         self.events.append(
-            interface.TrunkGroupReport(desk.endpoint_id, "served", 0, interface.LoadReport(free, size, ()))
+            interface.TrunkGroupReport(
+                endpoint.endpoint_id, "served", 0, interface.LoadReport(free, size, ())
+            )
         )
 
-    def update_endpoints(self, source: str, whole: bool, lines: Iterable[EndpointEntry]) -> None:
-        """News of the exchange list, whichever source tells it."""
+    def update_endpoints(self, source: str, snapshot: bool, entries: Iterable[EndpointEntry]) -> None:
+        """Apply a list of desk exchanges from any source: a complete snapshot, or changes to the last one."""
         if self.admission is not None:
-            source, whole, lines = self.admission.filter_entries(source, whole, lines)
-        usable = [told for told in lines if told.backend in self.backends]
-        changed = self.registry.apply(self.now, source, whole, usable)
+            source, snapshot, entries = self.admission.filter_entries(source, snapshot, entries)
+        usable = [entry for entry in entries if entry.backend in self.backends]
+        changed = self.registry.apply(self.now, source, snapshot, usable)
         if not changed:
             return
-        for desk in changed:
-            self.metrics.count("server.listed", desk.entry.state)
-            event("server.listed", "{source} says that {server} at {endpoint} is {state}", source=source,
-                  server=desk.entry.uid, endpoint=desk.entry.address, state=desk.entry.state)  # fmt: skip
-        entries = tuple(
+        for endpoint in changed:
+            self.metrics.count("server.listed", endpoint.entry.state)
+            event("server.listed", "{source} lists {server} at {endpoint} as {state}", source=source,
+                  server=endpoint.entry.uid, endpoint=endpoint.entry.address,
+                  state=endpoint.entry.state)  # fmt: skip
+        list_entries = tuple(
             interface.ListEntry(
-                d.endpoint_id, d.entry.zone, d.entry.exchange, d.entry.state, d.entry.started_ns
+                endpoint.endpoint_id,
+                endpoint.entry.zone,
+                endpoint.entry.exchange,
+                endpoint.entry.state,
+                endpoint.entry.started_ns,
             )
-            for d in changed
+            for endpoint in changed
         )
         self.events.append(
-            interface.ExchangeListUpdate("update" if self.list_received else "restored", entries)
+            interface.ExchangeListUpdate("update" if self.list_received else "restored", list_entries)
         )
         self.list_received = True
         if self.admission is not None:
             self.events += self.admission.endpoints_changed(changed)
-        for desk in changed:
-            if desk.entry.exchange == self.settings.own_exchange:
-                continue  # nothing is ever sent to the own exchange
-            if desk.entry.state == TERMINATED:
-                # While its connections are there: what listens at its address may be its successor, and hold
-                # calls that were sent before anybody said so.
-                self.endpoint_lost(desk, "removed")
-            self._backend(desk).endpoint_changed(desk)
-            if desk.entry.state != TERMINATED and 0 < desk.entry.started_ns <= self.now:
-                # Guards against calls left standing for good on a process that was started anew under the
-                # same uid: it knows nothing of what was sent to the one before it.
-                self.endpoint_lost(desk, "started_anew", desk.entry.started_ns)
+        for endpoint in changed:
+            if endpoint.entry.exchange == self.settings.own_exchange:
+                continue  # no set-up is ever sent to the own exchange
+            if endpoint.entry.state == TERMINATED:
+                # Done while its connections are still open: a successor may already listen at its address and
+                # hold calls that were sent there before the list changed.
+                self.endpoint_lost(endpoint, "removed")
+            self._backend(endpoint).endpoint_changed(endpoint)
+            if endpoint.entry.state != TERMINATED and 0 < endpoint.entry.started_ns <= self.now:
+                # A process restarted under the same uid knows nothing of calls sent to its predecessor; they
+                # would never be released otherwise.
+                self.endpoint_lost(endpoint, "started_anew", endpoint.entry.started_ns)
 
     def begin_shutdown(self, plan: ShutdownPlan) -> None:
-        """Told to end: from now on no request is owed an answer later than the plan says."""
+        """Begin the shutdown: from now on, no request is answered later than the plan allows."""
         if self.shutdown_plan is None:
             self.shutdown_plan = plan
             self.timers.schedule(plan.answer_by_ns, self._answer_open_requests)
 
     def _answer_open_requests(self) -> None:
-        """Everything that is open gets its final answer, while there is time for it to arrive."""
-        open_ = [request for request in self.requests if not request.established]
-        for request in open_:
-            call = request.params.call_id
-            self.events.append(interface.CallerGone(call))
-            self._fail_request(call, FAILED if request.attempts else REFUSED, 0)
-        if open_:
-            event("shutdown.cut_off", "{requests} requests are answered before the kill: {ids}",
-                  requests=len(open_), ids=first_ids([r.params.call_id for r in open_]))  # fmt: skip
-
-    # --- The turn ---------------------------------------------------------------------------------------
+        """Send every open request its final response while there is still time for it to arrive."""
+        open_requests = [request for request in self.requests if not request.established]
+        for request in open_requests:
+            call_id = request.params.call_id
+            self.events.append(interface.CallerGone(call_id))
+            self._send_failure(call_id, FAILED if request.attempts else REFUSED, 0)
+        if open_requests:
+            event("shutdown.cut_off", "{requests} open requests are answered ahead of the kill: {ids}",
+                  requests=len(open_requests),
+                  ids=first_ids([request.params.call_id for request in open_requests]))  # fmt: skip
+
+    # --- Decisions --------------------------------------------------------------------------------------
 
     def process_events(self) -> None:
-        """Hand what this turn brought to the module, as one batch, and carry its actions out."""
+        """Pass the collected events to the decision module as one batch and execute its actions."""
         while self.ended_calls and next(iter(self.ended_calls.values())) < self.now:
             del self.ended_calls[next(iter(self.ended_calls))]
         if self.rejected:
@@ -343,84 +361,85 @@
         try:
             actions = self.decision_module.step(self.now, events)
         except Exception:
-            # Guards against one event that the module can't digest ending the process: the calls of this
-            # batch then get their answer at the deadline, and all others go on.
-            logger.exception("the decision module failed on a batch of {} events", len(events))
+            # An event that the decision module fails on must not end the process: the calls of this batch are
+            # failed at their deadline, all others go on.
+            logger.exception("decision module failed on a batch of {} events", len(events))
             self.internal_errors += 1
             return
         for action in actions:
             try:
                 self._execute(action)
             except Exception:
-                # Guards the actions behind it: a fault in one front or back must not cost other calls theirs.
-                logger.exception("could not carry out {}", action)
+                # A fault in one frontend or backend must not keep the remaining actions from being executed.
+                logger.exception("failed to execute {}", action)
                 self.internal_errors += 1
 
     def _answer_rejected(self) -> None:
-        """What the admission controller did not let in gets its one answer in the turn in which it came."""
-        refused, self.rejected = self.rejected, []
-        for request, answer in refused:
+        """Answer the requests that admission control rejected, in the iteration in which they arrived."""
+        rejected, self.rejected = self.rejected, []
+        for request, response in rejected:
             if self.requests.get(request.handle) is request:
                 self._remove_request(request)
-                request.frontend.respond(request, answer)
+                request.frontend.respond(request, response)
 
     def _execute(self, action: interface.Action) -> None:
         match action:
-            case interface.SendSetUp(call, office, time_out):
-                self._send_set_up(call, office, time_out)
-            case interface.RefuseCall(call, stay_away):
-                self._fail_request(call, REFUSED, stay_away)
-            case interface.FailCall(call):
-                # What the attempt held may stay taken for the release pause: no sooner is another try of use.
-                self._fail_request(
-                    call, FAILED, self.settings.release_ns if self.settings.may_send_retry_after else 0
+            case interface.SendSetUp(call_id, endpoint_id, timeout_ns):
+                self._send_set_up(call_id, endpoint_id, timeout_ns)
+            case interface.RefuseCall(call_id, retry_after_ns):
+                self._send_failure(call_id, REFUSED, retry_after_ns)
+            case interface.FailCall(call_id):
+                # The circuits of the last attempt may stay seized for the release time; a redial before that
+                # would not help.
+                self._send_failure(
+                    call_id, FAILED, self.settings.release_ns if self.settings.may_send_retry_after else 0
                 )
-            case interface.SetTimer(in_ns, mark):
+            case interface.SetTimer(delay_ns, timer_id):
                 self.timers.schedule(
-                    self.now + in_ns, lambda: self.events.append(interface.TimerExpired(mark))
+                    self.now + delay_ns, lambda: self.events.append(interface.TimerExpired(timer_id))
                 )
-            case interface.CancelSetUp(call, number):
-                request = self.find(call)
+            case interface.CancelSetUp(call_id, number):
+                request = self.find(call_id)
                 attempt = request.current_attempt if request is not None and not request.established else None
                 if request is not None and attempt is not None and attempt.number == number:
                     self._cancel_attempt(request, attempt, "called_off")
             case interface.WatchExchangeList():
-                pass  # the list is followed from the start
+                pass  # the list is watched from the start
             case _:
-                logger.debug("no use for {}", action)
+                logger.debug("unsupported action {}", action)
 
-    def _send_set_up(self, call: str, office: int, time_out: int) -> None:
-        request, desk = self.find(call), self.registry.get(office)
-        why = violated_rule(self.now, self.settings, request, desk)
-        if why or request is None or desk is None:
+    def _send_set_up(self, call_id: str, endpoint_id: int, timeout_ns: int) -> None:
+        request, endpoint = self.find(call_id), self.registry.get(endpoint_id)
+        violation = violated_rule(self.now, self.settings, request, endpoint)
+        if violation or request is None or endpoint is None:
             self.internal_errors += 1
-            self.metrics.count("check.fired", why)
-            logger.error("set-up of call {} to office {} kept back: {}", call, office, why)
+            self.metrics.count("check.fired", violation)
+            logger.error("set-up of call {} to endpoint {} not sent: {}", call_id, endpoint_id, violation)
             number = request.attempts if request is not None else 0
             if request is not None:
                 request.attempts += 1
             self.events.append(
-                interface.AttemptEnded(call, office, number, "not_sent", 0, request is None, 0, None)
+                interface.AttemptEnded(call_id, endpoint_id, number, "not_sent", 0, request is None, 0, None)
             )
             return
         if self.admission is not None:
-            time_out = time_out or self.admission.attempt_timeout_ns(request.params)
-        attempt = Attempt(request.attempts, desk, self.now)
+            timeout_ns = timeout_ns or self.admission.attempt_timeout_ns(request.params)
+        attempt = Attempt(request.attempts, endpoint, self.now)
         request.attempts += 1
         request.current_attempt = attempt
         until = request.params.deadline_ns
-        if time_out and self.now + time_out < until:
-            until = self.now + time_out
+        if timeout_ns and self.now + timeout_ns < until:
+            until = self.now + timeout_ns
             handle = request.handle
             attempt.timeout_timer = self.timers.schedule(
                 until, lambda: self._attempt_timed_out(handle, attempt)
             )
         self.metrics.count("attempt.sent" if attempt.number == 0 else "attempt.retried")
-        call_event("attempt.sent", call, "attempt {attempt} to {server}",
-                   attempt=attempt.number, server=desk.entry.uid)  # fmt: skip
-        self._backend(desk).set_up(desk, request.params, until - self.now)
+        call_event("attempt.sent", call_id, "attempt {attempt} to {server}",
+                   attempt=attempt.number, server=endpoint.entry.uid)  # fmt: skip
+        self._backend(endpoint).set_up(endpoint, request.params, until - self.now)
 
-    # --- Ends -------------------------------------------------------------------------------------------
+    # --- Timeouts and the end of attempts and calls -----------------------------------------------------
 
     def _deadline_reached(self, handle: int) -> None:
         request = self.requests.get(handle)
@@ -433,14 +452,14 @@
             self._cancel_attempt(request, request.current_attempt, "no_answer")
 
     def _answer_overdue(self, handle: int) -> None:
-        """Guards rule 1 whatever the module does: no request outlives its deadline without an answer."""
+        """Enforce rule 1 if the decision module did not: a request is answered by its deadline."""
         request = self.requests.get(handle)
         if request is None or request.established:
             return
         self.internal_errors += 1
-        logger.error("call {} was still unanswered past its deadline", request.params.call_id)
+        logger.error("call {} had no final response after its deadline", request.params.call_id)
         self.events.append(interface.CallerGone(request.params.call_id))
-        self._fail_request(request.params.call_id, FAILED, 0)
+        self._send_failure(request.params.call_id, FAILED, 0)
 
     def _attempt_timed_out(self, handle: int, attempt: Attempt) -> None:
         request = self.requests.get(handle)
@@ -451,21 +470,22 @@
         self._backend(attempt.endpoint).cancel_set_up(attempt.endpoint, request.params.call_id)
         self._attempt_ended(request, attempt, outcome, 0, False)
 
-    def _fail_request(self, call: str, kind: str, stay_away: int) -> None:
-        request = self.find(call)
+    def _send_failure(self, call_id: str, result: str, retry_after_ns: int) -> None:
+        request = self.find(call_id)
         if request is None or request.established:
             return
         if request.current_attempt is not None:
             self._cancel_attempt(request, request.current_attempt, "called_off")
         outcome, cause = request.last_outcome
-        self.metrics.count(f"request.{kind}", outcome)
-        call_event("request.answered", call, "{kind} after {attempts} attempts, the last one: {outcome}",
-                   kind=kind, attempts=request.attempts, outcome=outcome or "none")  # fmt: skip
+        self.metrics.count(f"request.{result}", outcome)
+        call_event("request.answered", call_id,
+                   "{kind} after {attempts} attempts; outcome of the last one: {outcome}",
+                   kind=result, attempts=request.attempts, outcome=outcome or "none")  # fmt: skip
         self._remove_request(request)
-        request.frontend.respond(request, FinalResponse(kind, b"", stay_away, outcome, cause))
+        request.frontend.respond(request, FinalResponse(result, b"", retry_after_ns, outcome, cause))
 
     def _attempt_ended(
-        self, request: Request, attempt: Attempt, outcome: str, cause: int, call_over: bool
+        self, request: Request, attempt: Attempt, outcome: str, cause: int, call_ended: bool
     ) -> None:
         request.current_attempt = None
         request.last_outcome = (outcome, cause)
@@ -475,8 +495,8 @@
         if attempt.timeout_timer is not None:
             attempt.timeout_timer.cancel()
         if outcome in RELEASE_AWAITED_OUTCOMES:
-            # Guards the pause in a long turn: it counts from when the end was written, not from the turn's
-            # start.
+            # The pause counts from when the cancellation was written, not from the start of a long loop
+            # iteration.
             self.timers.refresh_clock()
             request.next_attempt_ns = self.now + self.settings.release_ns
         if self.admission is not None:
@@ -484,17 +504,17 @@
         self.events.append(
             interface.AttemptEnded(
                 request.params.call_id, attempt.endpoint.endpoint_id, attempt.number, outcome,
-                self.now - attempt.sent_ns, call_over, cause, None,
+                self.now - attempt.sent_ns, call_ended, cause, None,
             )
         )  # fmt: skip
 
     def _call_ended(self, request: Request, attempt: Attempt, outcome: str, ended_by: str) -> None:
-        """A call that stood is over; ``ended_by`` says who ended it, for the counters."""
+        """End an established call; ``ended_by`` is a counter label."""
         self.established_calls[attempt.endpoint.endpoint_id] -= 1
         if not self.established_calls[attempt.endpoint.endpoint_id]:
             del self.established_calls[attempt.endpoint.endpoint_id]
         self.metrics.count("call.over", ended_by)
-        call_event("call.over", request.params.call_id, "over at {server}, ended by {ended_by}",
+        call_event("call.over", request.params.call_id, "ended at {server} by {ended_by}",
                    server=attempt.endpoint.entry.uid, ended_by=ended_by)  # fmt: skip
         self._attempt_ended(request, attempt, outcome, 0, True)
         self._remove_request(request)
@@ -519,8 +539,10 @@
     def _set_up_finished(self, request: Request) -> None:
         if request.admitted and self.admission is not None:
             request.admitted = False
-            line = (id(request.frontend), request.connection_id)
-            self.admission.set_up_finished(self.now, line, request.params, self.now - request.received_ns)
+            connection = (id(request.frontend), request.connection_id)
+            self.admission.set_up_finished(
+                self.now, connection, request.params, self.now - request.received_ns
+            )
 
-    def _backend(self, desk: Endpoint) -> Backend:
-        return self.backends[desk.entry.backend]
+    def _backend(self, endpoint: Endpoint) -> Backend:
+        return self.backends[endpoint.entry.backend]
--- a/arrowrail/core/requests.py
+++ b/arrowrail/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests, attempts, answers and outcomes, and what the core expects of fronts, backs and admission."""
+"""Requests, attempts and responses, and the protocols of frontends, backends and admission control."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from arrowrail.state.timers import Timer
 from trackhatch import interface
 
-MS = 1_000_000
+MS = 1_000_000  # in ns
 ESTABLISHED, REFUSED, FAILED = "stands", "refused", "failed"
 Q850_NORMAL_CLEARING, Q850_TEMPORARY_FAILURE = 16, 41
 # Cause code: the connection to the endpoint failed, which says nothing about its processor.
@@ -19,46 +19,48 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUpParams:
-    """A request as any front words it."""
+    """The parameters of a set-up, in the same form for all frontends."""
 
-    call_id: str  # unique for good; 16 hex digits
+    call_id: str  # never reused; 16 hex digits
     class_name: str
-    called_number: str  # the number called, as the caller wrote it
-    number_key: int  # the number called, for the module
-    destination: int
-    width: int
+    called_number: str  # as the caller wrote it
+    number_key: int  # the called number as an integer, for the decision module
+    destination: int  # number of the exchange; -1: left to routing
+    width: int  # circuits on each trunk group
     deadline_ns: int
     session_description: bytes
     in_transit: bool = False
     redialled: bool = False
     replaces_cut_call: bool = False
     via_exchange: int = -1
-    route: str = ""  # the class by which the module knows it, where that is not the caller's
-    district: str = ""  # named by the caller, where it is
+    route: str = ""  # class name used by the decision module; empty: ``class_name``
+    district: str = ""  # named by the caller; empty if not
 
 
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
-    """The one final answer of a request."""
+    """The final response to a request; each request gets exactly one."""
 
-    result: str  # STANDS, REFUSED or FAILED
+    result: str  # ESTABLISHED, REFUSED or FAILED
     session_description: bytes = b""
     retry_after_ns: int = 0
-    outcome: str = ""  # of the last attempt, where one was made: a front may word its refusal by it
+    outcome: str = ""  # of the last attempt, if any; a frontend may choose its refusal code by it
     cause: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseOutcome:
-    """A release by a desk exchange, read both ways: only the core knows whether the call stood."""
+    """What a release by an endpoint means before and after the answer; only the core knows which applies."""
 
-    before_answer: str  # if the call did not stand yet
+    before_answer: str  # outcome if the call was not established yet
     cause: int = 0
-    after_answer: str = "served"  # if it did
+    after_answer: str = "served"  # outcome if it was
 
 
 @dataclass(slots=True)
 class Attempt:
+    """One set-up sent to an endpoint."""
+
     number: int
     endpoint: Endpoint
     sent_ns: int
@@ -68,67 +70,76 @@
 
 @dataclass(slots=True)
 class Request:
+    """The state of a call from its request to its end."""
+
     params: SetUpParams
     frontend: Frontend
-    connection_id: int  # the front's own handle for where the answer goes
+    connection_id: int  # the frontend's handle of the connection for the response
     handle: int = 0
-    attempts: int = 0
-    current_attempt: Attempt | None = None  # the attempt that is out, or that stands
+    attempts: int = 0  # made so far
+    current_attempt: Attempt | None = None  # the pending or the established attempt
     established: bool = False
-    next_attempt_ns: int = 0
+    next_attempt_ns: int = 0  # no attempt may be sent before this time
     deadline_timer: Timer | None = None
     last_outcome: tuple[str, int] = ("", 0)  # outcome and cause of the last attempt
     received_ns: int = 0
-    admitted: bool = False  # the admission controller counts it until its final answer
+    admitted: bool = False  # counted by admission control until the final response
 
 
 class Frontend(Protocol):
-    def respond(self, request: Request, answer: FinalResponse) -> None: ...
+    """The signalling toward callers."""
+
+    def respond(self, request: Request, response: FinalResponse) -> None: ...
     def release(self, request: Request, cause: int) -> None: ...
-    def release_unknown(self, call: str, cause: int) -> None: ...
+    def release_unknown(self, call_id: str, cause: int) -> None: ...
+
     def flushed(self) -> bool:
-        """Whether all that was said has been written."""
+        """Whether all output has been written."""
 
     @property
     def connections(self) -> int:
-        """How many connections of callers are open."""
+        """Number of open connections from callers."""
 
 
 class Backend(Protocol):
-    def endpoint_changed(self, desk: Endpoint) -> None:
-        """News of the list: open, withdraw what is still queued, or close."""
+    """The signalling toward endpoints."""
+
+    def endpoint_changed(self, endpoint: Endpoint) -> None:
+        """The list entry has changed: connect, withdraw set-ups that are still queued, or disconnect."""
 
-    def set_up(self, desk: Endpoint, offer: SetUpParams, wait_ns: int) -> None: ...
-    def cancel_set_up(self, desk: Endpoint, call: str) -> None:
-        """Take the set-up back if it is still queued, else tell the desk exchange."""
+    def set_up(self, endpoint: Endpoint, params: SetUpParams, wait_ns: int) -> None: ...
+    def cancel_set_up(self, endpoint: Endpoint, call_id: str) -> None:
+        """Drop the set-up if it is still queued, else cancel it at the endpoint."""
 
-    def release(self, desk: Endpoint, call: str, cause: int) -> None: ...
+    def release(self, endpoint: Endpoint, call_id: str, cause: int) -> None: ...
 
 
-# Outcomes of set-ups that admission turns away.
+# Outcomes of set-ups that are refused before the decision module sees them.
 NO_ROUTE, OVER_LIMIT = "no_route", "over_limit"
-SHUTDOWN = "shutdown"  # the outcome of requests that are cut off by the end of the process
+SHUTDOWN = "shutdown"  # arrived too late in the shutdown
 
 
 class AdmissionController(Protocol):
-    """What decides before the module, where an installation has it: routes, limits, the use of pools."""
+    """Optional stage ahead of the decision module: routing, limits and the state of pools."""
 
-    def admit(self, now: int, line: object, offer: SetUpParams) -> tuple[SetUpParams, FinalResponse | None]:
-        """The offer as it goes on, or the answer that turns it away."""
+    def admit(
+        self, now: int, connection: object, params: SetUpParams
+    ) -> tuple[SetUpParams, FinalResponse | None]:
+        """Return the routed parameters, and the final response if the set-up is refused."""
 
-    def set_up_finished(self, now: int, line: object, offer: SetUpParams, took_ns: int) -> None:
-        """A set-up that was let in has its final answer, or its caller has gone."""
+    def set_up_finished(self, now: int, connection: object, params: SetUpParams, took_ns: int) -> None:
+        """An admitted set-up has its final response, or its caller has abandoned it."""
 
-    def attempt_timeout_ns(self, offer: SetUpParams) -> int:
-        """How long an attempt may go unanswered; 0: until the caller's deadline."""
+    def attempt_timeout_ns(self, params: SetUpParams) -> int:
+        """How long an attempt may stay unanswered; 0: until the deadline of the request."""
 
     def supports_class(self, class_name: str) -> bool: ...
     def filter_entries(
-        self, source: str, whole: bool, lines: Iterable[EndpointEntry]
+        self, source: str, snapshot: bool, entries: Iterable[EndpointEntry]
     ) -> tuple[str, bool, list[EndpointEntry]]:
-        """News of the list as it takes effect here."""
+        """Return the source, kind and entries of a list update in the form to be applied."""
 
-    def endpoints_changed(self, desks: Iterable[Endpoint]) -> list[interface.PoolUpdate]: ...
+    def endpoints_changed(self, endpoints: Iterable[Endpoint]) -> list[interface.PoolUpdate]: ...
     def attempt_ended(
-        self, now: int, desk: Endpoint, outcome: str, cause: int
+        self, now: int, endpoint: Endpoint, outcome: str, cause: int
     ) -> list[interface.PoolUpdate]: ...
--- a/arrowrail/core/rules.py
+++ b/arrowrail/core/rules.py
@@ -1,4 +1,4 @@
-"""The last check of the rules before a set-up leaves.  No I/O, no clock: the time is handed in."""
+"""The final check of the rules before a set-up is sent.  Pure: no I/O, and the time is a parameter."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def violated_rule(now: int, settings: Settings, request: Request | None, endpoint: Endpoint | None) -> str:
-    """Which rule a set-up would break, in words for the log; empty where it breaks none."""
+    """Return the rule that a set-up would violate, as a log text and counter label; empty if none."""
     if request is None:
         return "the call is over"
     if endpoint is None:
--- a/arrowrail/failure_detection/__init__.py
+++ b/arrowrail/failure_detection/__init__.py
@@ -1,2 +1,1 @@
-"""Decisions on whether a peer that has fallen silent is still there.  No I/O, no clock: times are handed
-in."""
+"""Decides whether a silent endpoint is still there.  Pure: no I/O, and times are parameters."""
--- a/arrowrail/failure_detection/endpoint.py
+++ b/arrowrail/failure_detection/endpoint.py
@@ -1,20 +1,19 @@
-"""Judges, from contacts alone, whether the server behind an endpoint still holds the calls that stand there.
+"""Decides from passive observations and connection checks whether an endpoint still holds its calls.
 
-A server that vanishes says nothing: its connections stay open and silent, and new ones never come up.
-Discovery may say so late, or be down itself.  The callers have to hear of the end of their calls within 8 s
-all the same (PROTOCOL, "The rules on sockets"), and calls that go on must not be cut.
+A server that vanishes leaves its connections open and silent, and new connections are never accepted.
+Discovery may report this late, or be down itself.  Callers still have to be sent the release of their calls
+within 8 s (PROTOCOL, "The rules on sockets"), and calls that go on must not be released.
 
-What counts as proof, strongest first:
+The evidence, strongest first:
 
-- News of a call, or bytes on a connection, from before an interruption: it is the same process, and its calls
-  stand.
-- A connection that comes up: something is there.  Where the server has always spoken at once on new
-connections,
-  as to tell its state, one that stays mute proves nothing: a process that hangs takes connections, too.
-  After an interruption it may be a new process at the same address, which knows nothing of the calls of
-  before.
-- A connection that never comes up, or stays mute, twice in a row, or one that is refused while none is up: an
-  interruption.  Once is not enough, since single connections get lost on the way to servers that are well.
+- A message about a call set up before an interruption, or data on a connection opened before it: the same
+  process is still running, and its calls go on.
+- A new connection that is accepted: some process is there.  If the server used to send data at once on new
+  connections, such as its state, a connection without such a greeting proves nothing: connections to a
+  hanging process are accepted, too.  After an interruption it may be a new process at the same address, which
+  knows nothing of the earlier calls.
+- Two connections in a row that time out or bring no greeting, or one that is refused while no other is open:
+  an interruption.  One is not enough, since single connections get lost on the way to healthy servers.
 
 All times are Unix times in ns.
 """
@@ -25,36 +24,37 @@
 from dataclasses import dataclass
 
 MS = 1_000_000
-RELEASE_LIMIT_NS = 8_000 * MS  # PROTOCOL: when no release could be sent, from the end of a call
-RELEASE_RESERVE_NS = 800 * MS  # to notice, and to get the release out to the caller
+# PROTOCOL: from the end of a call until its caller must have been sent the release.
+RELEASE_LIMIT_NS = 8_000 * MS
+RELEASE_RESERVE_NS = 800 * MS  # for detection, and for sending the release to the caller
 SILENCE_LIMIT_NS = RELEASE_LIMIT_NS - RELEASE_RESERVE_NS
-# With calls standing, how long a server may say nothing before a connection is tried.  The shorter, the
-# fresher is the last proof when a server vanishes, and the longer an outage that its calls outlive: 6 s at
-# this figure.
+# With established calls, how long a server may be silent before a connection check.  A shorter time means a
+# more recent last contact when the server vanishes, and a longer outage that its calls survive: 6 s with this
+# value.
 CHECK_IDLE_NS = 1_000 * MS
-CHECK_TIMEOUT_NS = 1_100 * MS  # STANDING: connections to servers may come up late, up to 1 s
-SECOND_CHECK_DELAY_NS = 300 * MS  # a first one that has brought nothing by then is joined by another
-GREETING_TIMEOUT_NS = 1_000 * MS  # a server that greets does so within this time
-MIN_GREETINGS = 3  # in a row, until a server is known to greet
-MAX_FAILED_CHECKS = 2  # in a row, until an interruption is believed
-REFUSED_TIMEOUT_NS = 2_000 * MS  # a process that only restarts its listener keeps its calls
+CHECK_TIMEOUT_NS = 1_100 * MS  # STANDING: connections to servers may take up to 1 s to open
+SECOND_CHECK_DELAY_NS = 300 * MS  # after the first check, if it is still pending
+GREETING_TIMEOUT_NS = 1_000 * MS  # from the opening of a connection to its first data
+MIN_GREETINGS = 3  # in a row, until a greeting is expected on every connection
+MAX_FAILED_CHECKS = 2  # in a row, until an interruption is assumed
+REFUSED_TIMEOUT_NS = 2_000 * MS  # a process that merely restarts its listener keeps its calls
 
 UNREACHABLE, RESTARTED, REFUSED = "unreachable", "not_the_same_process", "refused"
 
 
 @dataclass(frozen=True, slots=True)
 class CallLoss:
-    """Calls at an endpoint are over, since their server is not there any more."""
+    """Established calls at an endpoint that have to be released: their server is gone."""
 
     reason: str
-    before_ns: int  # those set up before that time; 0: all
+    before_ns: int  # only calls set up before that time; 0: all
 
 
 class EndpointMonitor:
-    """Keeps the contacts with one endpoint and says when its calls have to be given up.
+    """Tracks the contacts with one endpoint and reports when its calls are lost.
 
-    ``resets_on_restart``: the protocol makes a server that has started anew say so of each circuit, as ISUP
-    does, so that a connection that comes up ends an interruption by itself.
+    ``resets_on_restart``: the protocol requires a restarted server to reset each circuit, as ISUP does, so
+    that a new connection alone ends an interruption.
     """
 
     __slots__ = (
@@ -70,43 +70,43 @@
     def __init__(self, now: int, resets_on_restart: bool = False) -> None:
         self._last_contact_ns = now
         self._failed_checks = 0
-        self._interrupted_ns = 0  # the last contact before the interruption; 0: there is none
-        self._refused_since_ns = 0  # since when connections are refused; 0: they are not
-        self._calls_lost = False  # its calls were given up, and nothing came from it since
-        self._greeting_count = 0  # connections in a row on which the server spoke at once
+        self._interrupted_ns = 0  # last contact before the current interruption; 0: no interruption
+        self._refused_since_ns = 0  # start of the period in which connections are refused; 0: they are not
+        self._calls_lost = False  # the loss was reported, and there was no contact since
+        self._greeting_count = 0  # consecutive connections on which the server sent a greeting
         self._resets_on_restart = resets_on_restart
 
     @property
     def interrupted(self) -> bool:
-        """Whether calls of before are in doubt."""
+        """Whether it is unknown if the earlier calls still exist."""
         return self._interrupted_ns > 0
 
     def data_received(self, now: int, opened_ns: int) -> None:
-        """Bytes came on a connection that was opened at that time."""
+        """Data arrived on a connection that was opened at ``opened_ns``."""
         self._contact(now)
         if opened_ns <= self._interrupted_ns:
             self._interrupted_ns = 0
 
     def call_confirmed(self, now: int, set_up_ns: int) -> None:
-        """The server answered or released a call that was set up at that time."""
+        """The server answered or released a call that was set up at ``set_up_ns``."""
         self._contact(now)
         if set_up_ns <= self._interrupted_ns:
             self._interrupted_ns = 0
 
     def greeting_received(self, now: int, opened_ns: int) -> None:
-        """The first bytes came on a connection that was opened at that time."""
+        """The first data arrived on a connection that was opened at ``opened_ns``."""
         if now - opened_ns <= GREETING_TIMEOUT_NS:
             self._greeting_count += 1
 
     def greeting_missing(self, now: int) -> None:
-        """A connection came up, and nothing was said on it for ``GREETING_NS``."""
+        """No data arrived on a connection within the greeting timeout."""
         if self._greeting_count >= MIN_GREETINGS:
             self.check_failed(now)
         else:
             self._greeting_count = 0
 
     def connected(self, now: int) -> None:
-        """A connection came up."""
+        """A connection was opened."""
         if self._greeting_count < MIN_GREETINGS:
             self._contact(now)
         if self._resets_on_restart:
@@ -114,31 +114,31 @@
             self._interrupted_ns = 0
 
     def check_failed(self, now: int) -> None:
-        """A connection did not come up in time."""
+        """A connection was not opened in time."""
         self._failed_checks += 1
         if self._failed_checks >= MAX_FAILED_CHECKS:
             self._interrupt()
 
     def connection_limit_reached(self, now: int) -> None:
-        """A connection was refused while others are up: the server holds as many as it accepts."""
+        """A connection was refused while others are open: the server is at its connection limit."""
         self._contact(now)
 
     def connection_refused(self, now: int) -> None:
-        """A connection was refused while no other was up: nobody listens there."""
+        """A connection was refused while no other is open: no process listens there."""
         self._refused_since_ns = self._refused_since_ns or now
         self._interrupt()
 
     def check_due(self, now: int, pending: Sequence[int] = ()) -> bool:
-        """Whether a connection should be tried, where calls stand.
+        """Whether a connection check is due, given that there are established calls.
 
-        ``pending``: when the checks were begun that have brought nothing yet, oldest first.
+        ``pending``: start times of the checks without a result, oldest first.
         """
         if now - self._last_contact_ns < CHECK_IDLE_NS or len(pending) >= MAX_FAILED_CHECKS:
             return False
         return not pending or now - pending[0] >= SECOND_CHECK_DELAY_NS
 
     def detect_loss(self, now: int) -> CallLoss | None:
-        """The calls to give up now, told once for each interruption."""
+        """Return the calls that are lost, once per interruption."""
         if self._calls_lost:
             return None
         if self._refused_since_ns and now - self._refused_since_ns > REFUSED_TIMEOUT_NS:
@@ -146,14 +146,14 @@
             return CallLoss(REFUSED, 0)
         if not self._interrupted_ns or now - self._interrupted_ns < SILENCE_LIMIT_NS:
             return None
-        # What stood before the interruption; a later answer is of the process that is there now.
+        # Only the calls from before the interruption: later answers come from the process that runs now.
         loss = CallLoss(UNREACHABLE if self._silent else RESTARTED, self._interrupted_ns + 1)
         self._calls_lost, self._interrupted_ns = self._silent, 0
         return loss
 
     @property
     def _silent(self) -> bool:
-        """Whether nothing has come since the interruption."""
+        """Whether there was no contact since the interruption began."""
         return self._last_contact_ns <= self._interrupted_ns
 
     def _contact(self, now: int) -> None:
--- a/arrowrail/loop.py
+++ b/arrowrail/loop.py
@@ -1,4 +1,4 @@
-"""The one loop: readiness, deadlines, and a clock that is read once a turn."""
+"""The event loop: socket readiness, timers, and a clock that is read once per iteration."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 MAX_WAIT_NS = 1_000_000_000
 ReadyCallback = Callable[[int], None]
-Pollable = socket.socket | IO[Any]  # or a pipe
+Pollable = socket.socket | IO[Any]  # a socket or a pipe
 
 
 class Loop:
-    """``turn`` waits, reads the clock, hands readiness out and runs what is due."""
+    """``run_once`` waits for readiness, reads the clock, calls the ready callbacks and the due timers."""
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
-        # Monotonic, anchored to Unix time once: list times compare with it, and it never steps back.
+        # A monotonic clock, offset to Unix time once at the start: it never steps back and is comparable with
+        # the times in the exchange list.
         self._unix_offset_ns = time.time_ns() - time.monotonic_ns()
-        self.closing_streams: dict[Any, None] = {}  # streams that were told their last word, oldest first
+        self.closing_streams: dict[Any, None] = {}  # streams that close once flushed, oldest first
         self.timers = TimerQueue(self._clock(), self._clock)
 
     def _clock(self) -> int:
@@ -41,20 +42,20 @@
             self._selector.register(sock, mask, ready)
 
     def unwatch(self, sock: Pollable) -> None:
-        with contextlib.suppress(KeyError, ValueError):  # was never watched, or is closed already
+        with contextlib.suppress(KeyError, ValueError):  # never watched, or already closed
             self._selector.unregister(sock)
 
     def run_once(self, no_wait: bool = False) -> None:
-        """One wait and what it brought; ``no_wait`` where work is left that no socket announces."""
+        """Run one iteration.  ``no_wait``: work is pending that no socket or timer signals."""
         wait_ns = 0
         if not no_wait:
-            due = self.timers.next_due_ns()
+            due_ns = self.timers.next_due_ns()
             now = self._clock()
-            wait_ns = MAX_WAIT_NS if due is None else max(0, min(due - now, MAX_WAIT_NS))
+            wait_ns = MAX_WAIT_NS if due_ns is None else max(0, min(due_ns - now, MAX_WAIT_NS))
         ready = self._selector.select(wait_ns / 1e9)
         self.timers.now = self._clock()
         for key, mask in ready:
             if self._selector.get_map().get(key.fd) is not key:
-                continue  # closed or changed by an earlier one of this turn
+                continue  # closed or changed by an earlier callback of this iteration
             key.data(mask)
         self.timers.run_due()
--- a/arrowrail/shutdown/__init__.py
+++ b/arrowrail/shutdown/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on a planned end of the process.  No I/O, no clock: times are handed in."""
+"""Graceful shutdown.  Pure: no I/O, and times are parameters."""
--- a/arrowrail/state/__init__.py
+++ b/arrowrail/state/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in memory: numbered slots, the ordered deadlines, the exchange list."""
+"""In-memory state: slot table, timer queue and the list of desk exchanges."""
--- a/arrowrail/state/endpoints.py
+++ b/arrowrail/state/endpoints.py
@@ -1,4 +1,4 @@
-"""The exchange list as this controller was told it, from one or more sources."""
+"""The list of desk exchanges as known to this controller, from one or more sources."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 
 IN_SERVICE, TERMINATING, TERMINATED = "in_service", "terminating", "terminated"
 STATES = (IN_SERVICE, TERMINATING, TERMINATED)
-MAX_TERMINATED = 128  # entries of gone exchanges that are remembered, so that late news finds them
+MAX_TERMINATED = 128  # terminated endpoints that are remembered, so that late list updates find them
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One line of a source's list: a desk exchange, where it listens and how it is spoken to."""
+    """One entry of a source's list: a desk exchange, its address and its signalling protocol."""
 
     uid: str
-    address: str  # address:port
+    address: str  # host:port
     zone: str
     exchange: int
     state: str
-    started_ns: int  # Unix time of a late start; 0: long ago
-    backend: str = "binary"  # which back speaks to it
-    point_code: int = 0  # of an exchange that signals in the M3UA style
-    circuits: int = 0  # of the group toward it, where it does; 0: as configured for all
+    started_ns: int  # Unix time of its last start; 0: unknown or long ago
+    backend: str = "binary"  # name of the backend that connects to it
+    point_code: int = 0  # of an exchange that uses M3UA-style signalling
+    circuits: int = 0  # of the trunk group toward it, with M3UA-style signalling; 0: the configured default
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """A desk exchange under the number that the decision module knows it by."""
+    """A desk exchange and the number by which the decision module knows it."""
 
     endpoint_id: int
     source: str
     entry: EndpointEntry
-    drain_notified_ns: int = 0  # when this controller was told that it drains or is gone
+    drain_notified_ns: int = 0  # when this controller learned that it drains or is gone; 0: in service
 
 
 class EndpointRegistry:
-    """Interns uids as office numbers.  A uid is one exchange for life, whatever address it has.
+    """Maps uids to endpoint ids.  A uid identifies the same exchange for good, whatever address it has.
 
-    Guards against an address that a new exchange took over: it has another uid, hence another number, and
-    what is late for the old one cannot reach it.
+    If a new exchange takes over an address, it has another uid and hence another endpoint id, so that late
+    messages and timers of the old one cannot reach it.
     """
 
     def __init__(self) -> None:
@@ -47,49 +47,55 @@
         self._ids_by_uid: dict[str, int] = {}
         self._last_id = 0
 
-    def get(self, office: int) -> Endpoint | None:
-        return self.endpoints.get(office)
+    def get(self, endpoint_id: int) -> Endpoint | None:
+        return self.endpoints.get(endpoint_id)
 
-    def apply(self, now: int, source: str, whole: bool, lines: Iterable[EndpointEntry]) -> list[Endpoint]:
-        """Take news in; returns the exchanges that changed, each once, in the order told."""
+    def apply(
+        self, now: int, source: str, snapshot: bool, entries: Iterable[EndpointEntry]
+    ) -> list[Endpoint]:
+        """Apply a list update; return the endpoints that changed, each once, in the order of the update."""
         changed: dict[int, Endpoint] = {}
-        named = set()
-        for told in lines:
-            named.add(told.uid)
-            desk = self._update_entry(now, source, told)
-            if desk is not None:
-                changed[desk.endpoint_id] = desk
-        if whole:  # absent from a whole list of its source: gone
-            for desk in list(self.endpoints.values()):
-                known = desk.entry
-                if desk.source == source and known.uid not in named and known.state != TERMINATED:
-                    self._update_entry(now, source, replace(known, state=TERMINATED))
-                    changed[desk.endpoint_id] = desk
+        listed_uids = set()
+        for entry in entries:
+            listed_uids.add(entry.uid)
+            endpoint = self._update_entry(now, source, entry)
+            if endpoint is not None:
+                changed[endpoint.endpoint_id] = endpoint
+        if snapshot:  # endpoints that are absent from their source's snapshot are terminated
+            for endpoint in list(self.endpoints.values()):
+                old_entry = endpoint.entry
+                if (
+                    endpoint.source == source
+                    and old_entry.uid not in listed_uids
+                    and old_entry.state != TERMINATED
+                ):
+                    self._update_entry(now, source, replace(old_entry, state=TERMINATED))
+                    changed[endpoint.endpoint_id] = endpoint
         self._drop_terminated()
         return list(changed.values())
 
-    def _update_entry(self, now: int, source: str, told: EndpointEntry) -> Endpoint | None:
-        office = self._ids_by_uid.get(told.uid)
-        if office is None:
-            if told.state == TERMINATED:
-                return None  # never heard of: nothing can be out there
+    def _update_entry(self, now: int, source: str, entry: EndpointEntry) -> Endpoint | None:
+        endpoint_id = self._ids_by_uid.get(entry.uid)
+        if endpoint_id is None:
+            if entry.state == TERMINATED:
+                return None  # never listed: no call can have been sent there
             self._last_id += 1
-            desk = Endpoint(self._last_id, source, told)
-            self._ids_by_uid[told.uid], self.endpoints[desk.endpoint_id] = desk.endpoint_id, desk
+            endpoint = Endpoint(self._last_id, source, entry)
+            self._ids_by_uid[entry.uid], self.endpoints[endpoint.endpoint_id] = endpoint.endpoint_id, endpoint
         else:
-            desk = self.endpoints[office]
-            if told.state == TERMINATED:  # a deletion may name nothing but the uid
-                told = replace(desk.entry, state=TERMINATED)
-            if desk.entry == told:
+            endpoint = self.endpoints[endpoint_id]
+            if entry.state == TERMINATED:  # a deletion may carry nothing but the uid
+                entry = replace(endpoint.entry, state=TERMINATED)
+            if endpoint.entry == entry:
                 return None
-            desk.entry = told
-        if told.state == IN_SERVICE:
-            desk.drain_notified_ns = 0
-        elif desk.drain_notified_ns == 0:
-            desk.drain_notified_ns = now
-        return desk
+            endpoint.entry = entry
+        if entry.state == IN_SERVICE:
+            endpoint.drain_notified_ns = 0
+        elif endpoint.drain_notified_ns == 0:
+            endpoint.drain_notified_ns = now
+        return endpoint
 
     def _drop_terminated(self) -> None:
-        gone = [d for d in self.endpoints.values() if d.entry.state == TERMINATED]
-        for desk in gone[: max(0, len(gone) - MAX_TERMINATED)]:
-            del self.endpoints[desk.endpoint_id], self._ids_by_uid[desk.entry.uid]
+        terminated = [endpoint for endpoint in self.endpoints.values() if endpoint.entry.state == TERMINATED]
+        for endpoint in terminated[: max(0, len(terminated) - MAX_TERMINATED)]:
+            del self.endpoints[endpoint.endpoint_id], self._ids_by_uid[endpoint.entry.uid]
--- a/arrowrail/state/slots.py
+++ b/arrowrail/state/slots.py
@@ -1,4 +1,4 @@
-"""A table of numbered slots: a handle stays unique although its slot is used again."""
+"""A slot table with generational handles, which stay unique although slots are reused."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-SLOT_BITS = 20  # a million slots: far above what the descriptor and memory limits let in
+SLOT_BITS = 20  # a million slots, far more than the descriptor and memory limits allow
 
 
 class SlotTable(Generic[T]):
-    """Values by handle: the slot's number in the low bits, the slot's generation above them.
+    """Values by handle: the slot number in the low bits, the slot's generation above them.
 
-    Guards against a late message, timer or readiness report reaching the next tenant of a slot: its handle
-    names an older generation and finds nothing.
+    A late message, timer or readiness event cannot reach the next value in a slot: its handle carries an
+    older generation and finds nothing.
     """
 
     __slots__ = ("_free", "_generations", "_values")
@@ -27,7 +27,7 @@
         return len(self._values) - len(self._free)
 
     def __iter__(self) -> Iterator[T]:
-        """The values held now; the table may change while they are walked."""
+        """Iterate over the current values; the table may change meanwhile."""
         return iter([v for v in self._values if v is not None])
 
     def add(self, value: T) -> int:
--- a/arrowrail/state/timers.py
+++ b/arrowrail/state/timers.py
@@ -1,4 +1,4 @@
-"""All deadlines of the process, in one ordered structure."""
+"""The timers of the process, in one queue."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class Timer:
-    """One thing to do at a time; ``cancel`` leaves it in the order, to be passed over."""
+    """A scheduled callback.  A cancelled timer stays in the queue and is skipped."""
 
     __slots__ = ("callback", "due_ns")
 
-    def __init__(self, at: int, act: Callable[[], None] | None) -> None:
-        self.due_ns, self.callback = at, act
+    def __init__(self, due_ns: int, callback: Callable[[], None] | None) -> None:
+        self.due_ns, self.callback = due_ns, callback
 
     def cancel(self) -> None:
-        self.callback = None  # also lets go of what the callback holds
+        self.callback = None  # also drops the references that the callback holds
 
 
 class TimerQueue:
-    """A heap by time, then by order of entry, so that equal times run as they were set."""
+    """A heap of timers, ordered by due time, then by order of scheduling."""
 
     __slots__ = ("_clock", "_heap", "_sequence", "now")
 
     def __init__(self, now: int = 0, clock: Callable[[], int] | None = None) -> None:
-        self.now = now  # the one clock: read by the loop once a turn, and by ``refresh``
+        self.now = now  # updated by the loop once per iteration and by ``refresh_clock``
         self._clock = clock
         self._heap: list[tuple[int, int, Timer]] = []
         self._sequence = 0
@@ -35,19 +35,19 @@
         return len(self._heap)
 
     def refresh_clock(self) -> None:
-        """Read the clock within a turn, where a pause is to count from what has just been written."""
+        """Read the clock within an iteration, where a pause has to count from output just written."""
         if self._clock is not None:
             self.now = max(self.now, self._clock())
 
-    def schedule(self, when: int, act: Callable[[], None]) -> Timer:
-        deadline = Timer(when, act)
+    def schedule(self, due_ns: int, callback: Callable[[], None]) -> Timer:
+        timer = Timer(due_ns, callback)
         self._sequence += 1
-        heapq.heappush(self._heap, (when, self._sequence, deadline))
+        heapq.heappush(self._heap, (due_ns, self._sequence, timer))
         if self._sequence % 4096 == 0:
-            # Guards against cancelled entries with far times piling up between the live ones.
+            # Cancelled timers that are due far in the future would otherwise accumulate in the heap.
             self._heap = [entry for entry in self._heap if entry[2].callback is not None]
             heapq.heapify(self._heap)
-        return deadline
+        return timer
 
     def next_due_ns(self) -> int | None:
         while self._heap and self._heap[0][2].callback is None:
@@ -55,15 +55,15 @@
         return self._heap[0][0] if self._heap else None
 
     def run_due(self) -> None:
-        """Run all that is due; what a callback sets for now or earlier waits for the next turn."""
+        """Run the due timers; those that a callback schedules wait for the next iteration, even if due."""
         due = []
         while self._heap and self._heap[0][0] <= self.now:
             due.append(heapq.heappop(self._heap)[2])
-        for deadline in due:
-            act, deadline.callback = deadline.callback, None
-            if act is not None:
+        for timer in due:
+            callback, timer.callback = timer.callback, None
+            if callback is not None:
                 try:
-                    act()
+                    callback()
                 except Exception:
-                    # Guards against a fault in one deadline's work ending the process and all its calls.
-                    logger.exception("what was due failed")
+                    # A fault in one callback must not end the process and all its calls.
+                    logger.exception("timer callback failed")
--- a/arrowrail/telemetry/__init__.py
+++ b/arrowrail/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What a running process tells its operators: structured log events and counters."""
+"""Structured log events and counters."""
--- a/arrowrail/telemetry/events.py
+++ b/arrowrail/telemetry/events.py
@@ -1,4 +1,4 @@
-"""Structured log events: a line of text under a stable name, with its fields beside it in JSON logs.
+"""Structured log events: a message under a stable name, with separate fields in JSON logs.
 
 Events of single calls are logged at ``CALL_LEVEL``, which is off by default; events of endpoints, of
 discovery and of the process are logged at INFO or above.
@@ -12,19 +12,19 @@
 from loguru import logger
 
 CALL_LOG_LEVEL = "DEBUG"
-_call_events_enabled = True  # until a level is set
-MAX_LOGGED_IDS = 20  # call ids named in one line; the line also carries their number
+_call_events_enabled = True  # default until a log level is set
+MAX_LOGGED_IDS = 20  # call ids per log line; the line also states their number
 
 
 def event(name: str, text: str, level: str = "INFO", **fields: Any) -> None:
-    """Log an event under a stable name; its fields stand in the text and, in JSON, beside it."""
+    """Log an event under a stable name; its fields fill the text and are separate keys in JSON logs."""
     logger.opt(depth=1).bind(event=name, **fields).log(level, text, **fields)
 
 
-def enable_call_events(wanted: bool) -> None:
-    """Whether events of single calls are logged; where not, they cost next to nothing."""
+def enable_call_events(enabled: bool) -> None:
+    """Set whether events of single calls are logged; if not, ``call_event`` returns at once."""
     global _call_events_enabled
-    _call_events_enabled = wanted
+    _call_events_enabled = enabled
 
 
 def call_event(name: str, call: str, text: str, **fields: Any) -> None:
@@ -36,13 +36,13 @@
     )
 
 
-def first_ids(calls: list[str]) -> list[str]:
-    """The first ids of a list, so that a log line stays bounded."""
-    return calls[:MAX_LOGGED_IDS]
+def first_ids(call_ids: list[str]) -> list[str]:
+    """The first ids of a list, to limit the length of a log line."""
+    return call_ids[:MAX_LOGGED_IDS]
 
 
-def disconnect_reason(why: OSError | None) -> str:
-    """Why a connection ended, as a name from a small fixed set, fit to label a counter."""
-    if why is None:
+def disconnect_reason(error: OSError | None) -> str:
+    """Why a connection ended, as a name from a small fixed set that can label a counter."""
+    if error is None:
         return "closed_by_peer"
-    return errno.errorcode.get(why.errno or 0, "unknown")
+    return errno.errorcode.get(error.errno or 0, "unknown")
--- a/arrowrail/telemetry/metrics.py
+++ b/arrowrail/telemetry/metrics.py
@@ -1,7 +1,7 @@
-"""Counters of one process: what was taken, answered, retried, refused, closed and released, and why.
+"""Counters of one process.
 
-Plain integers in one table.  Names and labels come from the code, never from a peer, so that the table stays
-small however long the process runs.
+They are plain integers in one table.  Names and labels come from the code, never from a peer, so that the
+table stays small however long the process runs.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
         self._reported: dict[str, int] = {}
 
     def count(self, name: str, label: str = "", amount: int = 1) -> None:
-        """Add to a counter; ``label`` says why, as in ``request.refused{no_answer}``."""
+        """Add to a counter; ``label`` is the reason, as in ``request.refused{no_answer}``."""
         self._values[f"{name}{{{label}}}" if label else name] += amount
 
     def value(self, name: str, label: str = "") -> int:
-        """The present value of a counter; 0 where nothing was counted yet."""
+        """The current value of a counter; 0 if nothing was counted yet."""
         return self._values[f"{name}{{{label}}}" if label else name]
 
     def snapshot(self) -> dict[str, int]:
@@ -33,7 +33,7 @@
         return dict(sorted(self._values.items()))
 
     def report(self) -> None:
-        """Log all counters in one line, if any has changed since the last one."""
+        """Log all counters in one line, if any has changed since the last report."""
         values = self.snapshot()
         if values != self._reported:
             self._reported = values
