--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core's own duties, with a module that says whatever a test tells it to."""
+"""Tests of the core with a scripted decision module and recording frontends and backends."""
 
 from __future__ import annotations
 
@@ -17,217 +17,230 @@
 CALL = "00000000000000a1"
 
 
-class Scripted:
-    """In the module's place: hands out the actions put into it, and keeps the events."""
+class ScriptedDecisionModule:
+    """Stands in for the decision module: returns the given actions and records the events."""
 
     def __init__(self) -> None:
-        self.next: list[interface.Action] = []
-        self.seen: list[interface.Event] = []
-        self.broken = False
+        self.actions: list[interface.Action] = []
+        self.events: list[interface.Event] = []
+        self.fails = False
 
     def step(self, _now: int, events: list[interface.Event]) -> list[interface.Action]:
-        if self.broken:
-            raise RuntimeError("a fault in the module")
-        self.seen += events
-        actions, self.next = self.next, []
+        if self.fails:
+            raise RuntimeError("decision module fails")
+        self.events += events
+        actions, self.actions = self.actions, []
         return actions
 
 
-class Recorder:
-    """Front and back in one: what the core told them, in order."""
+class RecordingSignalling:
+    """A frontend and backend in one that records the calls of the core, in order."""
 
     connections = 0
 
     def __init__(self) -> None:
-        self.said: list[tuple[Any, ...]] = []
+        self.recorded: list[tuple[Any, ...]] = []
 
-    def respond(self, _request: Request, answer: FinalResponse) -> None:
-        self.said.append(("answer", answer.result))
+    def respond(self, _request: Request, response: FinalResponse) -> None:
+        self.recorded.append(("respond", response.result))
 
-    def release(self, *what: Any) -> None:
-        self.said.append(("release", what[-1]))
+    def release(self, *arguments: Any) -> None:
+        self.recorded.append(("release", arguments[-1]))
 
-    def release_unknown(self, call: str, _cause: int) -> None:
-        self.said.append(("unknown", call))
+    def release_unknown(self, call_id: str, _cause: int) -> None:
+        self.recorded.append(("release_unknown", call_id))
 
     def flushed(self) -> bool:
         return True
 
-    def endpoint_changed(self, desk: Endpoint) -> None:
-        self.said.append(("changed", desk.endpoint_id, desk.entry.state))
+    def endpoint_changed(self, endpoint: Endpoint) -> None:
+        self.recorded.append(("endpoint_changed", endpoint.endpoint_id, endpoint.entry.state))
 
-    def set_up(self, desk: Endpoint, _offer: SetUpParams, wait_ns: int) -> None:
-        self.said.append(("set_up", desk.endpoint_id, wait_ns))
+    def set_up(self, endpoint: Endpoint, _params: SetUpParams, wait_ns: int) -> None:
+        self.recorded.append(("set_up", endpoint.endpoint_id, wait_ns))
 
-    def cancel_set_up(self, desk: Endpoint, _call: str) -> None:
-        self.said.append(("give_up", desk.endpoint_id))
+    def cancel_set_up(self, endpoint: Endpoint, _call_id: str) -> None:
+        self.recorded.append(("cancel_set_up", endpoint.endpoint_id))
 
 
-class Bench:
-    def __init__(self, **offer: Any) -> None:
+class CoreFixture:
+    """A core with six endpoints in service and one set-up request."""
+
+    def __init__(self, **params: Any) -> None:
         self.core = Core(read_settings(settings()), 1, TimerQueue(1))
-        self.module, self.out = Scripted(), Recorder()
-        self.core.decision_module = self.module  # type: ignore[assignment]
-        self.core.backends["binary"] = self.out
-        self.core.frontends.append(self.out)
-        self.lines = [EndpointEntry(f"d{n}", "a:1", "z", n, "in_service", 0) for n in range(1, 7)]
-        self.core.update_endpoints("bus", True, self.lines)
-        self.out.said.clear()
-        self.core.submit(self.out, 0, SetUpParams(CALL, "check", "ab", 0xAB, 1, 1, 9_000 * MS, b"", **offer))
-
-    def act(self, *actions: interface.Action, at_ms: int = 0) -> list[tuple[Any, ...]]:
-        """Run a turn in which the module answers with these; returns what the core said in it."""
+        self.decision_module, self.signalling = ScriptedDecisionModule(), RecordingSignalling()
+        self.core.decision_module = self.decision_module  # type: ignore[assignment]
+        self.core.backends["binary"] = self.signalling
+        self.core.frontends.append(self.signalling)
+        self.entries = [EndpointEntry(f"d{n}", "a:1", "z", n, "in_service", 0) for n in range(1, 7)]
+        self.core.update_endpoints("bus", True, self.entries)
+        self.signalling.recorded.clear()
+        self.core.submit(
+            self.signalling, 0, SetUpParams(CALL, "check", "ab", 0xAB, 1, 1, 9_000 * MS, b"", **params)
+        )
+
+    def run(self, *actions: interface.Action, at_ms: int = 0) -> list[tuple[Any, ...]]:
+        """Process events while the decision module returns ``actions``; return the recorded calls."""
         if at_ms:
             self.core.timers.now = at_ms * MS
             self.core.timers.run_due()
-        self.module.next = list(actions)
-        self.core.events.append(interface.TimerExpired("turn"))
+        self.decision_module.actions = list(actions)
+        self.core.events.append(interface.TimerExpired("test"))
         self.core.process_events()
-        said, self.out.said = self.out.said, []
-        return said
+        recorded, self.signalling.recorded = self.signalling.recorded, []
+        return recorded
 
-    def ended(self) -> list[tuple[str, bool]]:
-        """Outcomes that the module would be told next, and whether the call was over."""
-        return [(e.outcome, e.call_ended) for e in self.core.events if isinstance(e, interface.AttemptEnded)]
+    def pending_outcomes(self) -> list[tuple[str, bool]]:
+        """The attempt outcomes queued for the decision module, and whether the call has ended."""
+        return [
+            (event.outcome, event.call_ended)
+            for event in self.core.events
+            if isinstance(event, interface.AttemptEnded)
+        ]
 
-    def lose(self, office: int, outcome: str) -> None:
-        self.core.attempt_failed(self.core.registry.endpoints[office], CALL, outcome)
+    def fail_attempt(self, endpoint_id: int, outcome: str) -> None:
+        self.core.attempt_failed(self.core.registry.endpoints[endpoint_id], CALL, outcome)
 
 
-def to(office: int, time_out_ms: int = 0) -> interface.SendSetUp:
-    return interface.SendSetUp(CALL, office, time_out_ms * MS)
+def send_set_up(endpoint_id: int, timeout_ms: int = 0) -> interface.SendSetUp:
+    return interface.SendSetUp(CALL, endpoint_id, timeout_ms * MS)
 
 
-def test_two_at_once_are_never_out() -> None:
-    bench = Bench()
-    assert [s[0] for s in bench.act(to(1), to(2))] == ["set_up"]
-    assert bench.ended() == [("not_sent", False)] and bench.core.internal_errors == 1
+def test_a_second_concurrent_attempt_is_not_sent() -> None:
+    fixture = CoreFixture()
+    assert [entry[0] for entry in fixture.run(send_set_up(1), send_set_up(2))] == ["set_up"]
+    assert fixture.pending_outcomes() == [("not_sent", False)] and fixture.core.internal_errors == 1
 
 
-def test_a_fifth_attempt_is_kept_back() -> None:
-    bench = Bench()
-    for office in range(1, 5):
-        assert bench.act(to(office))
-        bench.lose(office, "no_connection")
-    assert bench.act(to(5)) == [] and bench.core.internal_errors == 1
+def test_a_fifth_attempt_is_not_sent() -> None:
+    fixture = CoreFixture()
+    for endpoint_id in range(1, 5):
+        assert fixture.run(send_set_up(endpoint_id))
+        fixture.fail_attempt(endpoint_id, "no_connection")
+    assert fixture.run(send_set_up(5)) == [] and fixture.core.internal_errors == 1
 
 
 @pytest.mark.parametrize("outcome", ["connection_lost", "no_answer", "called_off"])
-def test_the_release_pause_holds_after_what_may_still_run(outcome: str) -> None:
-    bench = Bench()
-    bench.act(to(1))
-    bench.lose(1, outcome)
-    assert bench.act(to(2), at_ms=299) == [] and bench.core.internal_errors == 1
-    assert bench.act(to(2), at_ms=305)
+def test_the_release_pause_applies_if_the_attempt_may_still_be_running(outcome: str) -> None:
+    fixture = CoreFixture()
+    fixture.run(send_set_up(1))
+    fixture.fail_attempt(1, outcome)
+    assert fixture.run(send_set_up(2), at_ms=299) == [] and fixture.core.internal_errors == 1
+    assert fixture.run(send_set_up(2), at_ms=305)
 
 
-def test_the_release_pause_counts_from_the_end_of_a_long_turn() -> None:
-    bench = Bench()
-    bench.core.timers = TimerQueue(1, lambda: 90 * MS)  # what the clock says while the turn is under way
-    bench.act(to(1))
-    bench.lose(1, "no_answer")
-    assert bench.act(to(2), at_ms=385) == [] and bench.core.internal_errors == 1
-    assert bench.act(to(2), at_ms=395)
+def test_the_release_pause_counts_from_the_end_of_a_long_loop_iteration() -> None:
+    fixture = CoreFixture()
+    fixture.core.timers = TimerQueue(1, lambda: 90 * MS)  # the clock during the iteration
+    fixture.run(send_set_up(1))
+    fixture.fail_attempt(1, "no_answer")
+    assert fixture.run(send_set_up(2), at_ms=385) == [] and fixture.core.internal_errors == 1
+    assert fixture.run(send_set_up(2), at_ms=395)
 
 
 @pytest.mark.parametrize("state", ["terminating", "terminated"])
-def test_nothing_goes_to_a_draining_exchange_past_the_grace(state: str) -> None:
-    bench = Bench()
-    bench.core.update_endpoints("bus", False, [EndpointEntry("d1", "a:1", "z", 1, state, 0)])
-    bench.out.said.clear()
-    assert bench.act(to(1), at_ms=502) == [] and bench.core.internal_errors == 1
-    assert bench.act(to(2))
+def test_no_set_up_goes_to_a_draining_exchange_after_the_grace_time(state: str) -> None:
+    fixture = CoreFixture()
+    fixture.core.update_endpoints("bus", False, [EndpointEntry("d1", "a:1", "z", 1, state, 0)])
+    fixture.signalling.recorded.clear()
+    assert fixture.run(send_set_up(1), at_ms=502) == [] and fixture.core.internal_errors == 1
+    assert fixture.run(send_set_up(2))
 
 
 @pytest.mark.parametrize(
-    ("offer", "office"), [({"in_transit": True}, 2), ({}, 99), ({"in_transit": True}, 99)]
+    ("params", "endpoint_id"), [({"in_transit": True}, 2), ({}, 99), ({"in_transit": True}, 99)]
 )
-def test_no_set_up_goes_where_the_call_may_not(offer: dict[str, Any], office: int) -> None:
-    bench = Bench(**offer)
-    assert bench.act(to(office)) == [] and bench.core.internal_errors == 1
-
-
-def test_one_final_answer_whatever_the_module_says_twice() -> None:
-    bench = Bench()
-    bench.act(to(1))
-    assert bench.act(interface.RefuseCall(CALL, 0), interface.FailCall(CALL), to(2)) == [
-        ("give_up", 1),
-        ("answer", "refused"),
+def test_no_set_up_goes_to_an_endpoint_that_the_call_may_not_use(
+    params: dict[str, Any], endpoint_id: int
+) -> None:
+    fixture = CoreFixture(**params)
+    assert fixture.run(send_set_up(endpoint_id)) == [] and fixture.core.internal_errors == 1
+
+
+def test_a_request_gets_one_final_response_even_if_the_decision_module_ends_it_twice() -> None:
+    fixture = CoreFixture()
+    fixture.run(send_set_up(1))
+    assert fixture.run(interface.RefuseCall(CALL, 0), interface.FailCall(CALL), send_set_up(2)) == [
+        ("cancel_set_up", 1),
+        ("respond", "refused"),
     ]
-    assert bench.core.unanswered == 0 and not bench.core.requests
-    desk = bench.core.registry.endpoints[1]
-    bench.core.endpoint_answered(desk, CALL, b"late")  # released, not passed on
-    bench.core.endpoint_released(desk, CALL, ReleaseOutcome("server_error"), 16)
-    assert bench.act() == [("release", 16)]
+    assert fixture.core.unanswered == 0 and not fixture.core.requests
+    endpoint = fixture.core.registry.endpoints[1]
+    fixture.core.endpoint_answered(endpoint, CALL, b"late")  # released at the endpoint, not passed on
+    fixture.core.endpoint_released(endpoint, CALL, ReleaseOutcome("server_error"), 16)
+    assert fixture.run() == [("release", 16)]
 
 
-def test_a_set_up_gets_its_own_time_out_and_the_deadline_ends_all() -> None:
-    bench = Bench()
-    assert bench.act(to(1, 100)) == [("set_up", 1, 100 * MS)]
-    assert bench.act(at_ms=150) == [("give_up", 1)]
-    assert ("no_answer", False) in bench.ended() or bench.module.seen
-    bench.act(to(2), at_ms=1000)
-    assert bench.act(interface.FailCall(CALL), at_ms=9_001) == [("give_up", 2), ("answer", "failed")]
+def test_an_attempt_ends_at_its_timeout_and_at_the_deadline_of_the_request() -> None:
+    fixture = CoreFixture()
+    assert fixture.run(send_set_up(1, 100)) == [("set_up", 1, 100 * MS)]
+    assert fixture.run(at_ms=150) == [("cancel_set_up", 1)]
+    assert ("no_answer", False) in fixture.pending_outcomes() or fixture.decision_module.events
+    fixture.run(send_set_up(2), at_ms=1000)
+    assert fixture.run(interface.FailCall(CALL), at_ms=9_001) == [("cancel_set_up", 2), ("respond", "failed")]
 
 
-def test_a_module_that_fails_or_forgets_leaves_no_call_without_an_answer() -> None:
-    bench = Bench()
-    bench.module.broken = True
-    assert bench.act() == [] and bench.core.unanswered == 1
-    bench.act(at_ms=9_001)
-    assert bench.act(at_ms=9_012) == [("answer", "failed")] and not bench.core.requests
+def test_a_call_is_answered_even_if_the_decision_module_fails_or_returns_nothing() -> None:
+    fixture = CoreFixture()
+    fixture.decision_module.fails = True
+    assert fixture.run() == [] and fixture.core.unanswered == 1
+    fixture.run(at_ms=9_001)
+    assert fixture.run(at_ms=9_012) == [("respond", "failed")] and not fixture.core.requests
 
 
-def test_a_fault_in_a_back_costs_no_other_call_its_action(monkeypatch: pytest.MonkeyPatch) -> None:
-    bench = Bench()
+def test_a_fault_in_a_backend_does_not_affect_other_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+    fixture = CoreFixture()
     other = "00000000000000b2"
-    bench.core.submit(bench.out, 0, SetUpParams(other, "check", "ab", 0xAB, 1, 1, 9_000 * MS, b""))
+    fixture.core.submit(fixture.signalling, 0, SetUpParams(other, "check", "ab", 0xAB, 1, 1, 9_000 * MS, b""))
 
     def fails(*_: Any) -> None:
-        raise RuntimeError("a fault in the back")
+        raise RuntimeError("backend fails")
 
-    monkeypatch.setattr(bench.out, "set_up", fails)
+    monkeypatch.setattr(fixture.signalling, "set_up", fails)
     assert (
-        bench.act(to(1), interface.RefuseCall(other, 0)) == [("answer", "refused")]
-        and bench.core.internal_errors == 1
+        fixture.run(send_set_up(1), interface.RefuseCall(other, 0)) == [("respond", "refused")]
+        and fixture.core.internal_errors == 1
     )
-    bench.act(at_ms=9_001)
-    assert ("answer", "failed") in bench.act(at_ms=9_012) and not bench.core.requests
+    fixture.run(at_ms=9_001)
+    assert ("respond", "failed") in fixture.run(at_ms=9_012) and not fixture.core.requests
 
 
-def test_a_call_taken_before_a_restart_is_released_to_its_caller_once() -> None:
-    bench = Bench()
-    desk = bench.core.registry.endpoints[1]
+def test_a_call_from_before_a_restart_is_released_to_its_caller_once() -> None:
+    fixture = CoreFixture()
+    endpoint = fixture.core.registry.endpoints[1]
     for _ in range(2):
-        bench.core.endpoint_released(desk, "00000000000000ff", ReleaseOutcome("server_error"), 16)
-    assert bench.act() == [("unknown", "00000000000000ff")]
-
-
-@pytest.mark.parametrize(("since_ms", "cut"), [(0, False), (200, False), (400, True), (9_000, False)])
-def test_a_start_under_the_same_uid_cuts_what_was_sent_before_it(since_ms: int, cut: bool) -> None:
-    bench = Bench()
-    bench.act(to(1), at_ms=300)
-    bench.core.endpoint_answered(bench.core.registry.endpoints[1], CALL, b"")
-    bench.core.timers.now = 1_000 * MS
-    bench.core.update_endpoints(
-        "bus", False, [EndpointEntry("d1", "a:1", "x", 1, "in_service", since_ms * MS)]
+        fixture.core.endpoint_released(endpoint, "00000000000000ff", ReleaseOutcome("server_error"), 16)
+    assert fixture.run() == [("release_unknown", "00000000000000ff")]
+
+
+@pytest.mark.parametrize(("started_ms", "released"), [(0, False), (200, False), (400, True), (9_000, False)])
+def test_a_restart_under_the_same_uid_ends_the_calls_established_before_it(
+    started_ms: int, released: bool
+) -> None:
+    fixture = CoreFixture()
+    fixture.run(send_set_up(1), at_ms=300)
+    fixture.core.endpoint_answered(fixture.core.registry.endpoints[1], CALL, b"")
+    fixture.core.timers.now = 1_000 * MS
+    fixture.core.update_endpoints(
+        "bus", False, [EndpointEntry("d1", "a:1", "x", 1, "in_service", started_ms * MS)]
     )
-    assert bench.act().count(("release", 41)) == (2 if cut else 0)  # to the caller, and to the exchange
-    assert len(bench.core.requests) == (0 if cut else 1)
-
-
-def test_a_set_up_that_a_fresh_start_answered_stands_on_though_it_was_sent_before() -> None:
-    bench = Bench()
-    bench.act(to(1), at_ms=300)
-    bench.core.timers.now = 600 * MS
-    bench.core.endpoint_answered(bench.core.registry.endpoints[1], CALL, b"")
-    bench.core.timers.now = 1_000 * MS
-    bench.core.update_endpoints("bus", False, [EndpointEntry("d1", "a:1", "x", 1, "in_service", 400 * MS)])
-    assert ("release", 41) not in bench.act()
-    assert len(bench.core.requests) == 1
-
-
-def test_lines_for_a_back_that_is_not_there_are_passed_over() -> None:
-    bench = Bench()
-    bench.core.update_endpoints("bus", False, [EndpointEntry("x", "a:1", "z", 9, "in_service", 0, "m3ua")])
-    assert len(bench.core.registry.endpoints) == 6
+    # Released toward both the caller and the exchange.
+    assert fixture.run().count(("release", 41)) == (2 if released else 0)
+    assert len(fixture.core.requests) == (0 if released else 1)
+
+
+def test_a_call_answered_after_a_restart_goes_on_although_its_set_up_was_sent_before() -> None:
+    fixture = CoreFixture()
+    fixture.run(send_set_up(1), at_ms=300)
+    fixture.core.timers.now = 600 * MS
+    fixture.core.endpoint_answered(fixture.core.registry.endpoints[1], CALL, b"")
+    fixture.core.timers.now = 1_000 * MS
+    fixture.core.update_endpoints("bus", False, [EndpointEntry("d1", "a:1", "x", 1, "in_service", 400 * MS)])
+    assert ("release", 41) not in fixture.run()
+    assert len(fixture.core.requests) == 1
+
+
+def test_list_entries_of_an_unknown_backend_are_ignored() -> None:
+    fixture = CoreFixture()
+    fixture.core.update_endpoints("bus", False, [EndpointEntry("x", "a:1", "z", 9, "in_service", 0, "m3ua")])
+    assert len(fixture.core.registry.endpoints) == 6
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,5 +1,4 @@
-"""From SIGTERM to the kill: whatever the program takes meanwhile gets its one final answer before the
-kill."""
+"""From SIGTERM to SIGKILL: every request accepted meanwhile gets its one final response in time."""
 
 from __future__ import annotations
 
@@ -14,16 +13,16 @@
 from tests.live import Caller
 from tests.world import World, world
 
-EXTRA_S = 0.7  # PROTOCOL: the kill comes that long after the longest deadline, which counts as 3 s at most
-LAST_S = 0.15  # what is sent later than that before the kill can't be answered by anybody
+KILL_AFTER_DEADLINE_S = 0.7  # PROTOCOL: after the longest deadline, which counts as 3 s at most
+SEND_STOP_S = 0.15  # before the kill; requests sent later cannot be answered in time
 
 
-class Sender(threading.Thread):
-    """Sends requests on one open connection until a time, and notes what is answered."""
+class RequestSender(threading.Thread):
+    """Sends requests on one open connection until a given time, and records the responses."""
 
-    def __init__(self, trial: World, until: float, patience_ms: int) -> None:
+    def __init__(self, scenario: World, until: float, patience_ms: int) -> None:
         super().__init__(daemon=True)
-        self.caller, self.until, self.patience_ms = Caller(trial.controller), until, patience_ms
+        self.caller, self.until, self.patience_ms = Caller(scenario.controller), until, patience_ms
         self.sent: list[str] = []
         self.answers: list[str] = []
 
@@ -36,7 +35,7 @@
             try:
                 self.caller.invite(call, patience=self.patience_ms)
             except OSError:
-                break  # closed under it: the call counts as unanswered
+                break  # connection closed; the call counts as unanswered
             time.sleep(0.05)
         reader.join(5)
 
@@ -53,38 +52,38 @@
     (9000, (signal.SIGTERM,)),
     (1200, (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM)),
 ])  # fmt: skip
-def test_what_comes_until_the_kill_is_answered_while_servers_hang(
+def test_all_requests_until_the_kill_are_answered_while_servers_hang(
     tmp_path: Path, deadline_ms: int, signals: tuple[signal.Signals, ...]
 ) -> None:
-    with world(tmp_path, deadline_ms=deadline_ms) as trial:
+    with world(tmp_path, deadline_ms=deadline_ms) as scenario:
         for route in ("s1", "s2"):
-            trial.fault(route, "hang")
-        told = time.monotonic()
-        kill = told + min(deadline_ms / 1000, 3.0) + EXTRA_S
-        sender = Sender(trial, kill - LAST_S, deadline_ms)
-        for number in signals:
-            trial.crew.send("n0", number)
+            scenario.fault(route, "hang")
+        signalled = time.monotonic()
+        kill_time = signalled + min(deadline_ms / 1000, 3.0) + KILL_AFTER_DEADLINE_S
+        sender = RequestSender(scenario, kill_time - SEND_STOP_S, deadline_ms)
+        for signal_number in signals:
+            scenario.crew.send("n0", signal_number)
         sender.start()
-        time.sleep(max(0.0, kill - time.monotonic()))
-        trial.crew.kill("n0")
+        time.sleep(max(0.0, kill_time - time.monotonic()))
+        scenario.crew.kill("n0")
         sender.join(10)
         assert len(sender.sent) > 10
         unanswered = [call for call in sender.sent if call not in sender.answers]
-        assert unanswered == [], "taken, and not answered when the kill came"
+        assert unanswered == [], "accepted, but not answered before the kill"
         assert len(set(sender.answers)) == len(sender.answers)
 
 
-def test_what_can_be_served_before_the_kill_is_served_and_what_stands_goes_on(
+def test_requests_are_served_after_sigterm_and_established_calls_go_on(
     tmp_path: Path,
 ) -> None:
-    with world(tmp_path) as trial:
-        caller = Caller(trial.controller)
-        standing = trial.stand(caller, 1, 3, exchange=1)
-        trial.crew.send("n0", signal.SIGTERM)
+    with world(tmp_path) as scenario:
+        caller = Caller(scenario.controller)
+        established = scenario.stand(caller, 1, 3, exchange=1)
+        scenario.crew.send("n0", signal.SIGTERM)
         time.sleep(1.5)
-        standing += trial.stand(caller, 11, 3, exchange=2)
-        assert len(standing) >= 5, "requests on an open connection are still served"
-        assert trial.crew.running["n0"].wait(10) == 0
+        established += scenario.stand(caller, 11, 3, exchange=2)
+        assert len(established) >= 5, "requests on an open connection are still served"
+        assert scenario.crew.running["n0"].wait(10) == 0
         for name in ("s1", "s2"):
             ledger = (tmp_path / f"{name}.jsonl").read_text()
-            assert '"what":"released"' not in ledger, "no call that stands was cut"
+            assert '"what":"released"' not in ledger, "no established call was released"
