--- a/arrowrail/core/engine.py
+++ b/arrowrail/core/engine.py
@@ -39,6 +39,7 @@
 from arrowrail.telemetry.metrics import Metrics
 from trackhatch import Controller, interface
 
+# Outcomes after which the endpoint may still hold the call until the release time has passed.
 RELEASE_AWAITED_OUTCOMES = ("no_answer", "connection_lost", "called_off")
 # How long after its deadline a request without a final response is failed: the decision module gets time to
 # respond, and the response still falls within the tolerance of all known installations.
@@ -85,7 +86,7 @@
         self.request_handles[params.call_id] = request.handle
         self.unanswered += 1
         self.metrics.count("request.taken", params.class_name)
-        call_event("request.taken", params.call_id, "taken, class {kind}, answer due in {due_ms} ms",
+        call_event("request.taken", params.call_id, "request accepted, class {kind}, deadline in {due_ms} ms",
                    kind=params.class_name, due_ms=(params.deadline_ns - self.now) // MS)  # fmt: skip
         handle = request.handle
         if self.shutdown_plan is not None:
--- a/arrowrail/failure_detection/endpoint.py
+++ b/arrowrail/failure_detection/endpoint.py
@@ -83,13 +83,13 @@
 
     def data_received(self, now: int, opened_ns: int) -> None:
         """Data arrived on a connection that was opened at ``opened_ns``."""
-        self._contact(now)
+        self._record_contact(now)
         if opened_ns <= self._interrupted_ns:
             self._interrupted_ns = 0
 
     def call_confirmed(self, now: int, set_up_ns: int) -> None:
         """The server answered or released a call that was set up at ``set_up_ns``."""
-        self._contact(now)
+        self._record_contact(now)
         if set_up_ns <= self._interrupted_ns:
             self._interrupted_ns = 0
 
@@ -108,25 +108,25 @@
     def connected(self, now: int) -> None:
         """A connection was opened."""
         if self._greeting_count < MIN_GREETINGS:
-            self._contact(now)
+            self._record_contact(now)
         if self._resets_on_restart:
-            self._contact(now)
+            self._record_contact(now)
             self._interrupted_ns = 0
 
     def check_failed(self, now: int) -> None:
         """A connection was not opened in time."""
         self._failed_checks += 1
         if self._failed_checks >= MAX_FAILED_CHECKS:
-            self._interrupt()
+            self._begin_interruption()
 
     def connection_limit_reached(self, now: int) -> None:
         """A connection was refused while others are open: the server is at its connection limit."""
-        self._contact(now)
+        self._record_contact(now)
 
     def connection_refused(self, now: int) -> None:
         """A connection was refused while no other is open: no process listens there."""
         self._refused_since_ns = self._refused_since_ns or now
-        self._interrupt()
+        self._begin_interruption()
 
     def check_due(self, now: int, pending: Sequence[int] = ()) -> bool:
         """Whether a connection check is due, given that there are established calls.
@@ -156,13 +156,13 @@
         """Whether there was no contact since the interruption began."""
         return self._last_contact_ns <= self._interrupted_ns
 
-    def _contact(self, now: int) -> None:
+    def _record_contact(self, now: int) -> None:
         self._last_contact_ns = now
         self._failed_checks = 0
         self._refused_since_ns = 0
         self._calls_lost = False
 
-    def _interrupt(self) -> None:
+    def _begin_interruption(self) -> None:
         if self._calls_lost:
             return
         if not self._interrupted_ns:
--- a/arrowrail/state/slots.py
+++ b/arrowrail/state/slots.py
@@ -28,7 +28,7 @@
 
     def __iter__(self) -> Iterator[T]:
         """Iterate over the current values; the table may change meanwhile."""
-        return iter([v for v in self._values if v is not None])
+        return iter([value for value in self._values if value is not None])
 
     def add(self, value: T) -> int:
         if self._free:
