--- a/arrowrail/core/engine.py
+++ b/arrowrail/core/engine.py
@@ -133,7 +133,7 @@
         request = self.find(call_id)
         if request is None or request.established:
             return False
-        self.events.append(interface.CallerGone(call_id))
+        self.events.append(interface.CallAbandoned(call_id))
         self.metrics.count("request.caller_gone")
         call_event("request.caller_gone", call_id, "the caller has abandoned the set-up")
         attempt = request.current_attempt
@@ -341,7 +341,7 @@
         open_requests = [request for request in self.requests if not request.established]
         for request in open_requests:
             call_id = request.params.call_id
-            self.events.append(interface.CallerGone(call_id))
+            self.events.append(interface.CallAbandoned(call_id))
             self._send_failure(call_id, FAILED if request.attempts else REFUSED, 0)
         if open_requests:
             event("shutdown.cut_off", "{requests} open requests are answered ahead of the kill: {ids}",
@@ -459,7 +459,7 @@
             return
         self.internal_errors += 1
         logger.error("call {} had no final response after its deadline", request.params.call_id)
-        self.events.append(interface.CallerGone(request.params.call_id))
+        self.events.append(interface.CallAbandoned(request.params.call_id))
         self._send_failure(request.params.call_id, FAILED, 0)
 
     def _attempt_timed_out(self, handle: int, attempt: Attempt) -> None:
--- a/arrowrail/sidecar/main.py
+++ b/arrowrail/sidecar/main.py
@@ -11,7 +11,7 @@
 
 from arrowrail.core.engine import Core
 from arrowrail.core.requests import MS, Q850_TEMPORARY_FAILURE
-from arrowrail.duties.hints import SILENT
+from arrowrail.duties.probe_results import SILENT
 from arrowrail.run.config import Config
 from arrowrail.run.log import log_to
 from arrowrail.run.main import Program
@@ -26,9 +26,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from arrowrail.group.instance import Run
-    from arrowrail.group.runtime import Group
-    from arrowrail.wire.m3ua.rules import ClassRule
+    from arrowrail.group.instance import DutyRun
+    from arrowrail.group.runtime import GroupRuntime
+    from arrowrail.wire.m3ua.mappings import ClassMapping
 
 GOOD, FAULTS, NO_PORT = 0, 1, 3
 TICK_NS = 250 * MS
@@ -44,12 +44,12 @@
         self.program = Program(_config(compiled, seed))
         self.core: Core = self.program.core
         self.admission = self.core.admission = RecordsAdmission(compiled, self.program.loop.now)
-        self.program.front.most_callers = compiled.connections
+        self.program.front.max_connections = compiled.connections
         self.reading = Reading(self.program.loop, self._read)
         self.folder, self.form = folder, form  # the form of logs, where the command line names it
         self.numbers: dict[str, int] = {line.name: line.number for line in compiled.lines}
         self._m3ua = _signalling(self.program, compiled)
-        self.group: Group | None = None
+        self.group: GroupRuntime | None = None
         self._alone_since: dict[int, int] = {}  # by front: since when it has had no connection
 
     # --- Start ------------------------------------------------------------------------------------------
@@ -65,9 +65,9 @@
         if self._m3ua is not None:
             self._m3ua.start()
         if c.group is not None:
-            from arrowrail.group.runtime import Group
+            from arrowrail.group.runtime import GroupRuntime
 
-            self.group = Group(loop, c.group, self._probe, int.from_bytes(os.urandom(8), "big"))
+            self.group = GroupRuntime(loop, c.group, self._probe, int.from_bytes(os.urandom(8), "big"))
             self.group.set_duties(self._duties())
         loop.timers.schedule(loop.now + TICK_NS, self._tick)
         # What lives as long as the process is left out of every later look for garbage.
@@ -94,13 +94,13 @@
         """Calls first; background work takes what its budgets leave it."""
         self.program.turn()
         if self.group is not None:
-            self.group.background(busy=bool(self.core.events or self.core.unanswered))
+            self.group.run_background(busy=bool(self.core.events or self.core.unanswered))
 
     def _duties(self) -> list[str]:
         lines = self.compiled.lines
         return [f"{PROBE}{line.name}" for line in lines if line.signalling == "binary"]
 
-    def _probe(self, run: Run, done: Callable[[bool], None]) -> bool:
+    def _probe(self, run: DutyRun, done: Callable[[bool], None]) -> bool:
         """One probe of an exchange in service, under the fence of its duty's epoch."""
         name = run.duty.removeprefix(PROBE)
         group = self.compiled.group
@@ -108,7 +108,7 @@
         desk = next((d for d in desks if d.entry.state == IN_SERVICE), None)
         if desk is None or group is None:
             return False
-        fence = f"{run.duty} {run.epoch} {run.run} {group.name}"
+        fence = f"{run.duty} {run.epoch} {run.number} {group.name}"
         back: Any = self.core.backends["binary"]
         if not back.probe(desk, fence, group.probe_time_out_ns, done):
             done(False)
@@ -147,11 +147,11 @@
         news, pools = self.admission.use(new, self.program.loop.now)
         self.core.events += pools
         self.core.update_endpoints(SOURCE, False, news)
-        self.program.front.most_callers = new.connections
+        self.program.front.max_connections = new.connections
         if self._m3ua is not None:
             self._m3ua.use(new)
         if self.group is not None and new.group is not None:
-            self.group.use(new.group)
+            self.group.update_config(new.group)
             self.group.set_duties(self._duties())
         log_to(new.log_level, self.form or new.log_form)
         event(
@@ -165,9 +165,9 @@
         loop = self.program.loop
         self.core.events += self.admission.due(loop.now)
         if self.group is not None:
-            hints = self.group.instance.hints
+            probe_results = self.group.instance.probe_results
             silent = [line.number for line in self.compiled.lines
-                      if hints.verdict(loop.now, PROBE + line.name) == SILENT]  # fmt: skip
+                      if probe_results.verdict(loop.now, PROBE + line.name) == SILENT]  # fmt: skip
             self.core.events += self.admission.doubted(loop.now, silent)
         self._forget_emptied()
         self._release_orphans()
@@ -204,39 +204,39 @@
     """The M3UA-style front and back, where the records ask for them."""
 
     def __init__(self, program: Program, c: Compiled) -> None:
-        from arrowrail.wire.m3ua.back import M3uaBack
-        from arrowrail.wire.m3ua.front import M3uaFront
-        from arrowrail.wire.m3ua.link import M3uaSettings
-        from arrowrail.wire.m3ua.rules import NumberRule
+        from arrowrail.wire.m3ua.association import M3uaSettings
+        from arrowrail.wire.m3ua.backend import M3uaBackend
+        from arrowrail.wire.m3ua.frontend import M3uaFrontend
+        from arrowrail.wire.m3ua.mappings import PrefixMapping
 
         links = c.links
         settings = M3uaSettings(
             links.point_code, links.routing_context, links.network_appearance, links.heartbeat_ns
         )
         circuits = max((line.circuits for line in c.lines), default=1)
-        self._any = (NumberRule("", -1),)  # the admission controller knows where a number leads
-        self.back = M3uaBack(
+        self._any = (PrefixMapping("", -1),)  # the admission controller knows where a number leads
+        self.back = M3uaBackend(
             program.loop, program.core, settings, _rules(c), circuits, links.connect_time_out_ns
         )
-        self.front: M3uaFront | None = None
+        self.front: M3uaFrontend | None = None
         if links.m3ua:
-            self.front = M3uaFront(program.loop, program.core, links.m3ua, settings, _rules(c), self._any)
+            self.front = M3uaFrontend(program.loop, program.core, links.m3ua, settings, _rules(c), self._any)
 
     def start(self) -> None:
         if self.front is not None:
             self.front.start()
 
     def use(self, c: Compiled) -> None:
-        self.back.use(_rules(c))
+        self.back.update_mappings(_rules(c))
         if self.front is not None:
-            self.front.use(_rules(c), self._any)
+            self.front.update_mappings(_rules(c), self._any)
 
 
-def _rules(c: Compiled) -> tuple[ClassRule, ...]:
-    from arrowrail.wire.m3ua.rules import ClassRule
+def _rules(c: Compiled) -> tuple[ClassMapping, ...]:
+    from arrowrail.wire.m3ua.mappings import ClassMapping
 
     return tuple(
-        ClassRule(f.name, f.give_up_ns, f.width, f.category, f.requirement) for f in c.classes.values()
+        ClassMapping(f.name, f.give_up_ns, f.width, f.category, f.requirement) for f in c.classes.values()
     )
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -29,10 +29,10 @@
 from arrowrail.sidecar.listing import Listing
 from arrowrail.sidecar.main import Sidecar
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, Endpoint, EndpointEntry
-from arrowrail.wire.desk import binary
-from arrowrail.wire.m3ua.isup import IsupType
+from arrowrail.wire.binary import messages as binary
+from arrowrail.wire.m3ua.isup import IsupMessageType
 from tests.live import SDP, Caller, Listening, M3uaPeer, release, set_up, tell, wait_until
-from tests.records.corpus import INVENTORY, LIFTS
+from tests.records.corpus import INVENTORY_TEXT, LIFTS_TEXT
 from trackhatch import interface
 
 S, MS = 1_000_000_000, 1_000_000
@@ -42,8 +42,8 @@
 
 def compiled(
     tmp_path: Path,
-    inventory: str = INVENTORY,
-    application: str = LIFTS,
+    inventory: str = INVENTORY_TEXT,
+    application: str = LIFTS_TEXT,
     numbers: dict[str, int] | None = None,
 ) -> Compiled:
     (tmp_path / "inventory.rail").write_text(inventory)
@@ -180,7 +180,7 @@
     found = read_now("sidecar", tmp_path, "lifts", {"k-2": 7})
     assert found.faults == () and found.value is not None and found.value.lines[3].number == 7
     assert sidecar(tmp_path, "lfts", {}).codes == ("AR321",)
-    (tmp_path / "lifts.rail").write_text(LIFTS.replace("3s", "3"))
+    (tmp_path / "lifts.rail").write_text(LIFTS_TEXT.replace("3s", "3"))
     found = read_now("sidecar", tmp_path, "lifts", {})
     assert found.value is None and found.codes == ("AR203", "AR203")
     assert controller(tmp_path / "none.rail", []).codes == ("AR101",)
@@ -229,7 +229,7 @@
         self.sidecar.start()
 
     def compile(self, **edits: list[tuple[str, str]]) -> Compiled:
-        inventory, application = INVENTORY, LIFTS
+        inventory, application = INVENTORY_TEXT, LIFTS_TEXT
         for port, name in zip(("6101", "6102", "6103", "6104"), self.exchanges, strict=True):
             inventory = inventory.replace(f"127.0.0.1:{port}", self.exchanges[name].address)
         application = application.replace("5081", str(self.ports[0]))
@@ -297,7 +297,7 @@
         links = {name: b.exchanges[name].desk() for name in b.exchanges}
         invite(caller, "a" * 16, "0961")
         m = set_up(links["k-1"], "a" * 16)
-        assert (m.class_name, m.number) == ("alarm", "0961") and m.wait_ms <= 1300
+        assert (m.class_name, m.number) == ("alarm", "0961") and m.timeout_ms <= 1300
         tell(links["k-1"], binary.ANSWER, "a" * 16)
         assert caller.answer("a" * 16).status == 200
         invite(caller, "b" * 16, "0771")
@@ -428,16 +428,16 @@
         import socket
 
         peer = M3uaPeer(socket.create_connection(("127.0.0.1", b.ports[1])), 5, 9).up()
-        peer.send(1, IsupType.IAM, called="0961", category=11, uui=b"d")
+        peer.send(1, IsupMessageType.IAM, called_number="0961", category=11, uui=b"d")
         m = links["k-1"].take(lambda m: m.kind == binary.SET_UP)
         assert m.class_name == "alarm"
-        tell(links["k-1"], binary.ANSWER, f"{m.call:016x}", description=b"e")
-        assert peer.isup(IsupType.ANM, 1).uui == b"e"
-        peer.send(2, IsupType.IAM, called="0771", category=11, uui=b"d")
-        assert peer.isup(IsupType.REL, 2).cause == 1
+        tell(links["k-1"], binary.ANSWER, f"{m.call_id:016x}", session_description=b"e")
+        assert peer.isup(IsupMessageType.ANM, 1).uui == b"e"
+        peer.send(2, IsupMessageType.IAM, called_number="0771", category=11, uui=b"d")
+        assert peer.isup(IsupMessageType.REL, 2).cause == 1
         for cic in range(3, 8):
-            peer.send(cic, IsupType.IAM, called="0961", category=11, uui=b"d")
-        over = peer.isup(IsupType.REL)
+            peer.send(cic, IsupMessageType.IAM, called_number="0961", category=11, uui=b"d")
+        over = peer.isup(IsupMessageType.REL)
         assert (over.cause, over.congestion) == (42, 1)
 
 
@@ -464,8 +464,8 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    (tmp_path / "inventory.rail").write_text(INVENTORY)
-    (tmp_path / "lifts.rail").write_text(LIFTS.replace("5081", str(free_ports(1)[0])))
+    (tmp_path / "inventory.rail").write_text(INVENTORY_TEXT)
+    (tmp_path / "lifts.rail").write_text(LIFTS_TEXT.replace("5081", str(free_ports(1)[0])))
     return tmp_path
 
 
@@ -510,8 +510,8 @@
         NOW,
         [interface.ExchangeListUpdate("restored", (entry(101), entry(102))), group(101, 0), group(102, 20)],
     )
-    assert sent(module.step(NOW, [call("a", to=1)])) == [] and "a" in module.queued_calls[101]
+    assert sent(module.step(NOW, [call("a", destination=1)])) == [] and "a" in module.queued_calls[101]
     assert sent(module.step(NOW + MS, [interface.PoolUpdate("check", (2,))])) == [("a", 102)]
-    assert sent(module.step(NOW + MS, [call("b", to=2)])) == [("b", 102)]
+    assert sent(module.step(NOW + MS, [call("b", destination=2)])) == [("b", 102)]
     module.step(NOW + 2 * MS, [interface.PoolUpdate("check", ())])
-    assert sent(module.step(NOW + 2 * MS, [call("c", to=2)])) == []
+    assert sent(module.step(NOW + 2 * MS, [call("c", destination=2)])) == []
