--- a/arrowrail/lab/exchange.py
+++ b/arrowrail/lab/exchange.py
@@ -124,15 +124,15 @@
             peer.stream.fail(None)
 
     def message(self, peer: Peer, m: BinaryMessage) -> None:
-        if m.kind == binary.SET_UP:
+        if m.message_type == binary.SET_UP:
             self._set_up(peer, m)
-        elif m.kind == binary.RELEASE:
+        elif m.message_type == binary.RELEASE:
             held = self.calls.get(m.call_id)
             self.ledger.say("released", call=f"{m.call_id:016x}", stood=held is not None and held.stands,
                             known=held is not None)  # fmt: skip
             self._free(m.call_id)
             peer.say(BinaryMessage(binary.RELEASE_ACK, m.call_id))
-        elif m.kind == binary.PROBE:
+        elif m.message_type == binary.PROBE:
             self._test(peer, m)
 
     def _test(self, peer: Peer, m: BinaryMessage) -> None:
--- a/arrowrail/lab/observers.py
+++ b/arrowrail/lab/observers.py
@@ -70,7 +70,7 @@
             self._ledger.say("unreadable", route=self._route, connection=self._connection, way=way)
             return
         for message in messages:
-            kind = KINDS.get(message.kind)
+            kind = KINDS.get(message.message_type)
             if kind is not None:
                 self._ledger.say(
                     kind, way=way, route=self._route, connection=self._connection,
--- a/arrowrail/wire/binary/backend.py
+++ b/arrowrail/wire/binary/backend.py
@@ -15,7 +15,7 @@
 from arrowrail.wire.binary import messages as binary
 from arrowrail.wire.binary.connection import ServerConnection
 from arrowrail.wire.binary.messages import BinaryMessage
-from arrowrail.wire.binary.outcomes import read_release
+from arrowrail.wire.binary.outcomes import release_outcome
 from arrowrail.wire.binary.pool import MAX_PENDING, ConnectionPool
 
 PROBE_ID_BASE = 0xF0BE << 48  # call ids of probes start here
@@ -149,13 +149,13 @@
 
     def handle_message(self, connection: ServerConnection, message: BinaryMessage) -> None:
         call_id = f"{message.call_id:016x}"
-        if message.kind in (binary.ANSWER, binary.RELEASE):
+        if message.message_type in (binary.ANSWER, binary.RELEASE):
             owner = connection.pool.find_connection(call_id)
             if owner not in (None, connection):
                 # Replies to a set-up come on its own connection: this one belongs to an earlier attempt.
                 logger.debug(
-                    "ignoring message of kind {} for call {}: its set-up is pending on another connection",
-                    message.kind,
+                    "ignoring message of type {} for call {}: its set-up is pending on another connection",
+                    message.message_type,
                     call_id,
                 )
                 return
@@ -163,24 +163,24 @@
             sent_ns = self.core.attempt_sent_ns(call_id)
             if sent_ns:
                 connection.pool.monitor.call_confirmed(self.loop.now, sent_ns)
-        if message.kind == binary.ANSWER:
+        if message.message_type == binary.ANSWER:
             self.core.endpoint_answered(connection.endpoint, call_id, message.session_description)
-        elif message.kind == binary.RELEASE:
-            self.core.endpoint_released(connection.endpoint, call_id, read_release(message), message.cause)
+        elif message.message_type == binary.RELEASE:
+            self.core.endpoint_released(connection.endpoint, call_id, release_outcome(message), message.cause)
             if connection.stream is not None:
                 connection.stream.send(binary.encode(BinaryMessage(binary.RELEASE_ACK, message.call_id)))
-        elif message.kind == binary.RELEASE_ACK:
+        elif message.message_type == binary.RELEASE_ACK:
             connection.unacknowledged_releases.pop(call_id, None)
-        elif message.kind == binary.GROUP_STATE and message.size >= 0:
+        elif message.message_type == binary.GROUP_STATE and message.size >= 0:
             self.core.trunk_group_changed(connection.endpoint, message.free, message.size)
-        elif message.kind == binary.PROBE_RESULT:
+        elif message.message_type == binary.PROBE_RESULT:
             pending = self.pending_probes.pop(message.call_id, None)
             if pending is not None:
                 pending[1].cancel()
                 pending[0](message.cause == 1)
-        elif message.kind == binary.PROBE and connection.stream is not None:
+        elif message.message_type == binary.PROBE and connection.stream is not None:
             connection.stream.send(
                 binary.encode(BinaryMessage(binary.PROBE_RESULT, message.call_id, cause=1))
             )
-        elif message.kind == binary.SET_UP:
+        elif message.message_type == binary.SET_UP:
             raise binary.BinaryError("a server must not send set-ups")
--- a/arrowrail/wire/binary/messages.py
+++ b/arrowrail/wire/binary/messages.py
@@ -5,7 +5,7 @@
 import struct
 from dataclasses import dataclass
 
-MAX_MESSAGE = 16 * 1024
+MAX_MESSAGE_SIZE = 16 * 1024
 SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, GROUP_STATE, PROBE, PROBE_RESULT = 1, 6, 9, 12, 16, 43, 52, 53
 (
     PARAM_CLASS, PARAM_TIMEOUT, PARAM_NUMBER, PARAM_REASON, PARAM_RETRY_AFTER, PARAM_GROUP, PARAM_CAUSE,
@@ -13,9 +13,9 @@
 ) = (
     129, 132, 141, 150, 153, 156, 171, 174,
 )  # fmt: skip
-KINDS = (SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, GROUP_STATE, PROBE, PROBE_RESULT)
+MESSAGE_TYPES = (SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, GROUP_STATE, PROBE, PROBE_RESULT)
 MAX_NUMBER = 10**9  # far above any time in milliseconds and any group size
-HEADER = struct.Struct(">HBQ")  # length of the rest, kind, call id
+HEADER = struct.Struct(">HBQ")  # length of the rest, message type, call id
 PARAMETER_HEADER = struct.Struct(">BH")  # code, length of the value
 
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BinaryMessage:
-    kind: int
+    message_type: int
     call_id: int
     cause: int = 0
     class_name: str = ""
@@ -62,7 +62,7 @@
         messages = []
         while len(self._buffer) >= 2:
             length = int.from_bytes(self._buffer[:2], "big")
-            if length < HEADER.size - 2 or length > MAX_MESSAGE:
+            if length < HEADER.size - 2 or length > MAX_MESSAGE_SIZE:
                 raise BinaryError(f"message length {length} is out of range")
             if len(self._buffer) < 2 + length:
                 break
@@ -72,10 +72,10 @@
 
 
 def decode(frame: bytes) -> BinaryMessage:
-    _, kind, call_id = HEADER.unpack_from(frame)
-    if kind not in KINDS:
+    _, message_type, call_id = HEADER.unpack_from(frame)
+    if message_type not in MESSAGE_TYPES:
         # Guards against parsing on in a corrupt stream: what looks like a message there may not be one.
-        raise BinaryError(f"unknown message kind {kind}")
+        raise BinaryError(f"unknown message type {message_type}")
     values: dict[int, bytes] = {}
     position = HEADER.size
     while position < len(frame):
@@ -88,9 +88,9 @@
         values[code] = frame[position : position + length]
         position += length
     cause = values.get(PARAM_CAUSE, b"\0")
-    if len(cause) != 1 or (kind in (RELEASE, PROBE_RESULT) and PARAM_CAUSE not in values):
+    if len(cause) != 1 or (message_type in (RELEASE, PROBE_RESULT) and PARAM_CAUSE not in values):
         raise BinaryError("cause is missing or not one byte long")
-    if kind == ANSWER and not values.get(PARAM_DESCRIPTION):
+    if message_type == ANSWER and not values.get(PARAM_DESCRIPTION):
         raise BinaryError("answer without a session description")
     try:
         text = {
@@ -100,7 +100,7 @@
         }
         free, size = _parse_group(text.get(PARAM_GROUP, ""))
         return BinaryMessage(
-            kind, call_id, cause[0], text.get(PARAM_CLASS, ""), text.get(PARAM_NUMBER, ""),
+            message_type, call_id, cause[0], text.get(PARAM_CLASS, ""), text.get(PARAM_NUMBER, ""),
             _parse_number(values.get(PARAM_TIMEOUT, b"0")), text.get(PARAM_REASON, ""),
             _parse_number(values.get(PARAM_RETRY_AFTER, b"0")), free, size,
             values.get(PARAM_DESCRIPTION, b""),
@@ -125,7 +125,7 @@
 
 def encode(message: BinaryMessage) -> bytes:
     parameters: list[tuple[int, bytes]] = []
-    if message.kind in (RELEASE, PROBE, PROBE_RESULT):
+    if message.message_type in (RELEASE, PROBE, PROBE_RESULT):
         parameters.append((PARAM_CAUSE, bytes((message.cause,))))
     if message.class_name:
         parameters.append((PARAM_CLASS, message.class_name.encode()))
@@ -142,4 +142,4 @@
     if message.session_description:
         parameters.append((PARAM_DESCRIPTION, message.session_description))
     body = b"".join(PARAMETER_HEADER.pack(code, len(value)) + value for code, value in parameters)
-    return HEADER.pack(HEADER.size - 2 + len(body), message.kind, message.call_id) + body
+    return HEADER.pack(HEADER.size - 2 + len(body), message.message_type, message.call_id) + body
--- a/arrowrail/wire/binary/outcomes.py
+++ b/arrowrail/wire/binary/outcomes.py
@@ -11,7 +11,7 @@
 CAUSES = {"group_full": 1, "tandem_refused": 2, "processor_full": 3, "user_busy": 4, "destination_full": 18}
 
 
-def read_release(message: BinaryMessage) -> ReleaseOutcome:
+def release_outcome(message: BinaryMessage) -> ReleaseOutcome:
     """The outcome of a release, both for an unanswered set-up and for an established call."""
     cause = CAUSES.get(message.reason, 0)
     if message.reason == "processor_full":
--- a/arrowrail/wire/sip/frontend.py
+++ b/arrowrail/wire/sip/frontend.py
@@ -259,7 +259,7 @@
     def _invite(self, caller: CallerConnection, message: sip.SipMessage) -> None:
         call_id = message.call_id
         try:
-            params = read_invite(message, self.loop.now, self.core.admission is not None)
+            params = parse_invite(message, self.loop.now, self.core.admission is not None)
             if not self.core.supports_class(params.class_name):
                 raise ValueError("unknown class")
             request = self.core.find(call_id)
@@ -370,7 +370,7 @@
     return int(text)
 
 
-def read_invite(message: sip.SipMessage, now: int, routed: bool = False) -> SetUpParams:
+def parse_invite(message: sip.SipMessage, now: int, routed: bool = False) -> SetUpParams:
     """The parameters of a set-up from its INVITE; ``ValueError`` names a missing or invalid field.
 
     ``routed``: the route follows from the called number or ``X-District``, so that X-Facts is not needed.
--- a/arrowrail/wire/sip/messages.py
+++ b/arrowrail/wire/sip/messages.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-MAX_MESSAGE = 16 * 1024
+MAX_MESSAGE_SIZE = 16 * 1024
 REASON_PHRASES = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 413: "Request Entity Too Large",
     405: "Method Not Allowed", 480: "Temporarily Unavailable", 481: "Call/Transaction Does Not Exist",
@@ -83,11 +83,11 @@
             skipped += 2
         if skipped:
             del buffer[:skipped]
-        end = buffer.find(b"\r\n\r\n", 0, MAX_MESSAGE)
+        end = buffer.find(b"\r\n\r\n", 0, MAX_MESSAGE_SIZE)
         if end < 0:
-            if len(buffer) < MAX_MESSAGE:
+            if len(buffer) < MAX_MESSAGE_SIZE:
                 return None
-            head = bytes(buffer[:MAX_MESSAGE])
+            head = bytes(buffer[:MAX_MESSAGE_SIZE])
             message, _ = parse_head(head[: head.rfind(b"\r\n")])
             return Malformed(413, "headers exceed the size limit", message, True)
         message, error = parse_head(bytes(buffer[:end]))
@@ -95,7 +95,7 @@
         if content_length is None or not (content_length.isascii() and content_length.isdigit()):
             return Malformed(400, "Content-Length is missing or invalid", message, True)
         total = end + 4 + int(content_length[:12])
-        if total > MAX_MESSAGE:
+        if total > MAX_MESSAGE_SIZE:
             return Malformed(413, "message exceeds the size limit", message, True)
         if len(buffer) < total:
             return None
--- a/examples/toy_desk.py
+++ b/examples/toy_desk.py
@@ -32,13 +32,13 @@
     say(BinaryMessage(binary.GROUP_STATE, 0, free=CIRCUITS, size=CIRCUITS))
     while data := sock.recv(65536):
         for m in parser.feed(data):
-            if m.kind == binary.SET_UP:
+            if m.message_type == binary.SET_UP:
                 print(f"{m.call_id:016x} to {m.number}, class {m.class_name}", flush=True)
                 say(BinaryMessage(binary.ANSWER, m.call_id, session_description=b"c=IN IP4 127.0.0.1\r\n"))
                 timer = threading.Timer(HOLD_S, end, (m.call_id,))
                 timer.daemon = True
                 timer.start()
-            elif m.kind == binary.RELEASE:
+            elif m.message_type == binary.RELEASE:
                 print(f"{m.call_id:016x} released by the controller", flush=True)
 
 
--- a/tests/live.py
+++ b/tests/live.py
@@ -151,11 +151,11 @@
 
 
 def set_up(peer: Peer[binary.BinaryMessage], call: str) -> binary.BinaryMessage:
-    return peer.take(lambda m: m.kind == binary.SET_UP and m.call_id == int(call, 16))
+    return peer.take(lambda m: m.message_type == binary.SET_UP and m.call_id == int(call, 16))
 
 
 def release(peer: Peer[binary.BinaryMessage], call: str) -> binary.BinaryMessage:
-    return peer.take(lambda m: m.kind == binary.RELEASE and m.call_id == int(call, 16))
+    return peer.take(lambda m: m.message_type == binary.RELEASE and m.call_id == int(call, 16))
 
 
 def target(uid: str, address: str, cell: int, state: str = "in_service", **more: Any) -> dict[str, Any]:
--- a/tests/test_live_m3ua.py
+++ b/tests/test_live_m3ua.py
@@ -253,7 +253,7 @@
         run.until(lambda: len([g for g in run.core.decision_module.trunk_groups.values() if g.size > 0]) == 2)
         caller, sip = client(run), Caller(run.port)
         caller.send(1, IAM, called_number="12", uui=b"o")
-        sent = binary_peer.take(lambda m: m.kind == binary.SET_UP)
+        sent = binary_peer.take(lambda m: m.message_type == binary.SET_UP)
         assert (sent.class_name, sent.number, sent.session_description) == ("check", "12", b"o")
         tell(binary_peer, binary.ANSWER, f"{sent.call_id:016x}", session_description=b"a")
         assert caller.isup(ANM, 1).uui == b"a"
--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -57,7 +57,7 @@
         caller.send("ACK", A)
         tell(peer, binary.RELEASE, A, cause=16)
         assert caller.bye(A).headers["reason"] == "Q.850;cause=16"
-        assert peer.take(lambda m: m.kind == binary.RELEASE_ACK).call_id == int(A, 16)
+        assert peer.take(lambda m: m.message_type == binary.RELEASE_ACK).call_id == int(A, 16)
         tell(peer, binary.RELEASE, A, cause=16)  # told twice, as on a next connection
         caller.send("OPTIONS", B)
         first = caller.take()
@@ -309,7 +309,7 @@
             tell(peer, binary.ANSWER, call)
         tell(peer, binary.PROBE, C)
         following = peer.take()
-        assert following.kind == binary.PROBE_RESULT and following.call_id == int(C, 16)
+        assert following.message_type == binary.PROBE_RESULT and following.call_id == int(C, 16)
 
 
 def test_a_cancelled_set_up_behind_a_stalled_peer_never_leaves() -> None:
@@ -369,7 +369,7 @@
         assert caller.answer(B).status == 503  # nothing new goes to it
         tell(peer, binary.RELEASE, A, cause=16)
         assert caller.bye(A).call_id == A
-        peer.take(lambda m: m.kind == binary.RELEASE_ACK)
+        peer.take(lambda m: m.message_type == binary.RELEASE_ACK)
         assert peer.closed()
         peer.sock.close()
         bus.tell(news(3, target("d1", desk.address, 1)))
@@ -564,7 +564,9 @@
         run.until(lambda: run.core.decision_module.trunk_groups[1].size > 0)
         caller.invite(A)
         caller.invite(B)
-        found = {m.call_id: peer for peer in peers for m in [peer.take(lambda m: m.kind == binary.SET_UP)]}
+        found = {
+            m.call_id: peer for peer in peers for m in [peer.take(lambda m: m.message_type == binary.SET_UP)]
+        }
         one, other = found[int(A, 16)], found[int(B, 16)]
         one.sock.sendall(spoilt)
         tell(one, binary.ANSWER, A)  # swallowed, or not to be trusted
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -429,7 +429,7 @@
 
         peer = M3uaPeer(socket.create_connection(("127.0.0.1", b.ports[1])), 5, 9).up()
         peer.send(1, IsupMessageType.IAM, called_number="0961", category=11, uui=b"d")
-        m = links["k-1"].take(lambda m: m.kind == binary.SET_UP)
+        m = links["k-1"].take(lambda m: m.message_type == binary.SET_UP)
         assert m.class_name == "alarm"
         tell(links["k-1"], binary.ANSWER, f"{m.call_id:016x}", session_description=b"e")
         assert peer.isup(IsupMessageType.ANM, 1).uui == b"e"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,7 +15,7 @@
 from arrowrail.state.timers import TimerQueue
 from arrowrail.wire.binary import messages as binary
 from arrowrail.wire.binary.messages import BinaryError, BinaryMessage
-from arrowrail.wire.binary.outcomes import read_release
+from arrowrail.wire.binary.outcomes import release_outcome
 from arrowrail.wire.bus import messages as bus
 from arrowrail.wire.etcd import messages as etcd
 from arrowrail.wire.m3ua import causes, isup
@@ -30,7 +30,7 @@
     ProtocolData,
 )
 from arrowrail.wire.sip import messages as sip
-from arrowrail.wire.sip.frontend import read_invite
+from arrowrail.wire.sip.frontend import parse_invite
 
 
 def both_ways(make: Callable[[], Callable[[bytes], Any]], data: bytes) -> list[Any]:
@@ -102,10 +102,10 @@
     headers = {k: v for k, v in (INVITE | changes).items() if v is not None}
     message = sip.SipMessage("INVITE", uri, headers=headers, body=b"x")
     if expected is not None:
-        assert read_invite(message, 1) == expected
+        assert parse_invite(message, 1) == expected
     else:
         with pytest.raises(ValueError):
-            read_invite(message, 1)
+            parse_invite(message, 1)
 
 
 @pytest.mark.parametrize(
@@ -158,7 +158,7 @@
     ],
 )
 def test_binary_releases(cause: int, reason: str, wait: int, outcome: str, number: int, stood: str) -> None:
-    ended = read_release(BinaryMessage(binary.RELEASE, 1, cause=cause, reason=reason, retry_after_ms=wait))
+    ended = release_outcome(BinaryMessage(binary.RELEASE, 1, cause=cause, reason=reason, retry_after_ms=wait))
     assert (ended.before_answer, ended.cause, ended.after_answer) == (outcome, number, stood)
 
 
