--- a/arrowrail/lab/bench.py
+++ b/arrowrail/lab/bench.py
@@ -25,9 +25,9 @@
 from arrowrail.lab.processes import ROOT, Crew, free_ports, listens, until
 from arrowrail.lab.simgroup import movement, traffic
 from arrowrail.lab.unlimited import NoLimits
-from arrowrail.sidecar.admission import RecordsAdmission
-from arrowrail.sidecar.compile import compile_
-from arrowrail.sidecar.listing import SOURCE
+from arrowrail.sidecar.admission import SidecarAdmission
+from arrowrail.sidecar.config import build_config
+from arrowrail.sidecar.exchange_list import SIDECAR_SOURCE
 from arrowrail.state.endpoints import Endpoint
 from arrowrail.state.timers import TimerQueue
 
@@ -111,15 +111,15 @@
 
 def core_with(folder: Path, limited: bool) -> tuple[Core, Quiet]:
     checked = check_folder(folder)
-    c = compile_(checked.applications["app0"], checked.inventories["app0"])
+    c = build_config(checked.applications["app0"], checked.inventories["app0"])
     core = Core(c.settings, 1, TimerQueue(S))
     quiet = Quiet(core)
     core.backends["binary"] = quiet  # type: ignore[assignment]
     core.frontends.append(quiet)
-    admission = core.admission = RecordsAdmission(c, S)
+    admission = core.admission = SidecarAdmission(c, S)
     if not limited:
         admission.limiter = NoLimits(c.limits, S)
-    core.update_endpoints(SOURCE, False, admission.listing.use(c.lines))
+    core.update_endpoints(SIDECAR_SOURCE, False, admission.exchange_list.update_config(c.exchanges))
     core.process_events()
     return core, quiet
 
--- a/arrowrail/lab/unlimited.py
+++ b/arrowrail/lab/unlimited.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from arrowrail.limits.limiter import ADMITTED_RESULT, AdmissionResult, Limiter
-from arrowrail.run.log import log_to
-from arrowrail.run.reading import read_now
+from arrowrail.run.log import configure_logging
+from arrowrail.run.reader_process import read_and_wait
 from arrowrail.sidecar.main import Sidecar
 
 
@@ -22,8 +22,8 @@
 
 
 def main(application: str, folder: Path) -> None:
-    log_to("WARNING")
-    result = read_now("sidecar", folder, application, {})
+    configure_logging("WARNING")
+    result = read_and_wait("sidecar", folder, application, {})
     if result.value is None:
         raise RuntimeError(result.faults)
     sidecar = Sidecar(result.value, folder, 1)
--- a/arrowrail/run/log.py
+++ b/arrowrail/run/log.py
@@ -16,7 +16,7 @@
 TEXT, JSON = "text", "json"
 
 
-def log_to(level: str, form: str = TEXT) -> None:
+def configure_logging(level: str, form: str = TEXT) -> None:
     """Log from that level on, in one of the two forms."""
     logger.remove()
     enable_call_events(logger.level(level).no <= logger.level(CALL_LOG_LEVEL).no)
--- a/arrowrail/run/main.py
+++ b/arrowrail/run/main.py
@@ -15,8 +15,8 @@
 from arrowrail.core.requests import MS
 from arrowrail.loop import Loop
 from arrowrail.run.config import Config, from_environment
-from arrowrail.run.log import log_to
-from arrowrail.run.wake import on_signal
+from arrowrail.run.log import configure_logging
+from arrowrail.run.signals import handle_signals
 from arrowrail.shutdown.plan import ShutdownPlan
 from arrowrail.telemetry.events import event
 from arrowrail.wire.binary.backend import BinaryBackend
@@ -25,38 +25,38 @@
 
 if TYPE_CHECKING:
     from arrowrail.config.records import Controller
-    from arrowrail.run.extras import Extras
-    from arrowrail.run.result import Result
+    from arrowrail.run.optional_components import OptionalComponents
+    from arrowrail.run.read_result import ReadResult
 
 MOST_LINKS, LINK_SHARE = 4, 64  # of 256 descriptors, nine desk exchanges get 36
 METRICS_NS = 10_000 * MS  # between two lines of counters in the log
 FLUSH_NS = 500 * MS  # for answers that are not written to their end
 
 
-class Program:
+class CallController:
     def __init__(self, config: Config, operator: Controller | None = None) -> None:
         self.loop = Loop()
         self.core = Core(config.settings, config.seed, self.loop.timers)
         # A few connections to each desk exchange, from what callers leave of the descriptors.
         per_desk = max(1, min(MOST_LINKS, config.sockets // LINK_SHARE))
         BinaryBackend(self.loop, self.core, config.connect_timeout_ns, per_desk)
-        self.front = SipFrontend(self.loop, self.core, config.listen, config.sockets)
+        self.frontend = SipFrontend(self.loop, self.core, config.listen, config.sockets)
         self.bus = BusClient(self.loop, self.core, config.bus)
         self.config, self.operator = config, operator
-        self.extras: Extras | None = None
+        self.optional_components: OptionalComponents | None = None
         self.flush_by = 0
 
     def start(self) -> None:
         self.bus.start(list(self.config.known), self.config.offset)
         if self.operator is not None:
             # Imported only where a file asks for it: the platform's controllers pay nothing for it.
-            from arrowrail.run.extras import Extras
+            from arrowrail.run.optional_components import OptionalComponents
 
-            self.extras = Extras(self.loop, self.core, self.config, self.operator)
+            self.optional_components = OptionalComponents(self.loop, self.core, self.config, self.operator)
         self.core.process_events()
         self.loop.timers.schedule(self.loop.now + METRICS_NS, self._report_metrics)
         if self.config.listen:
-            self.front.start()
+            self.frontend.start()
             logger.info("{} serves on {}", self.config.name, self.config.listen)
 
     def _report_metrics(self) -> None:
@@ -76,18 +76,18 @@
         if kept != replace(self.config, known=(), offset=0, seed=0):
             logger.warning("reload: only bus and limits.sockets are taken up; the rest needs a restart")
         self.config = replace(self.config, bus=config.bus, sockets=config.sockets)
-        self.front.max_sockets = config.sockets
+        self.frontend.max_sockets = config.sockets
         self.bus.change_address(config.bus)
-        if self.extras is not None and operator is not None:
-            self.extras.reload(operator)
-            log_to(operator.log.level, operator.log.form)
+        if self.optional_components is not None and operator is not None:
+            self.optional_components.reload(operator)
+            configure_logging(operator.log.level, operator.log.form)
         logger.info("reloaded; the event bus is at {}", config.bus or "no address")
 
-    def turn(self) -> None:
+    def run_iteration(self) -> None:
         self.loop.run_once(no_wait=bool(self.core.events))
         self.core.process_events()
 
-    def done(self) -> bool:
+    def is_finished(self) -> bool:
         now, plan = self.loop.now, self.core.shutdown_plan
         if plan is None:
             return False
@@ -101,10 +101,10 @@
         return now >= self.flush_by or all(front.flushed() for front in self.core.frontends)
 
     def run(self, again: Callable[[], None]) -> None:
-        on_signal(self.loop, self.stop, again)
+        handle_signals(self.loop, self.stop, again)
         self.start()
-        while not self.done():
-            self.turn()
+        while not self.is_finished():
+            self.run_iteration()
         self.core.metrics.report()
         logger.info("stopped; {} checks fired", self.core.internal_errors)
 
@@ -124,7 +124,7 @@
     return "controller", path, [c.name for c in config.settings.classes]
 
 
-def _taken(result: Result) -> Controller | None:
+def _taken(result: ReadResult) -> Controller | None:
     for fault in result.faults:
         logger.error("{}", fault)
     controller: Controller | None = result.value
@@ -140,19 +140,19 @@
         "--config", type=Path, help="the operator's records; absent: only what the platform says"
     )
     path: Path | None = parser.parse_args().config
-    log_to(os.environ.get("ARROWRAIL_LOG", "INFO"))
+    configure_logging(os.environ.get("ARROWRAIL_LOG", "INFO"))
     config, operator = read_platform(), None
     if config is None:
         return 1
     if path is not None:
         # Read in a process of its own, as at a reload: imported only where a file is named.
-        from arrowrail.run.reading import Reading, read_now
+        from arrowrail.run.reader_process import ReaderProcess, read_and_wait
 
-        operator = _taken(read_now(*_asked(path, config)))
+        operator = _taken(read_and_wait(*_asked(path, config)))
         if operator is None:
             return 1
-        log_to(operator.log.level, operator.log.form)
-    program = Program(config, operator)
+        configure_logging(operator.log.level, operator.log.form)
+    program = CallController(config, operator)
     kept = "reload: the file is not good; the configuration of before stays"
 
     def again() -> None:
@@ -162,9 +162,9 @@
         elif path is None:
             program.reload(config)
         else:
-            reading.ask(*_asked(path, config))
+            reader.request(*_asked(path, config))
 
-    def read(result: Result) -> None:
+    def read(result: ReadResult) -> None:
         operator, config = _taken(result), read_platform()
         if operator is None or config is None:
             logger.error(kept)
@@ -172,6 +172,6 @@
             program.reload(config, operator)
 
     if path is not None:
-        reading = Reading(program.loop, read)
+        reader = ReaderProcess(program.loop, read)
     program.run(again)
     return 0
--- a/arrowrail/run/extras.py
+++ b/arrowrail/run/optional_components.py
@@ -18,13 +18,13 @@
 SOURCE = "operator"
 
 
-class Extras:
+class OptionalComponents:
     """The parts that an operator's file turned on."""
 
     def __init__(self, loop: Loop, core: Core, config: Config, operator: Controller) -> None:
         self.core, self.config, self.operator = core, config, operator
         m = operator.m3ua
-        self.front: M3uaFrontend | None = None
+        self.frontend: M3uaFrontend | None = None
         self.etcd: EtcdClient | None = None
         if m.enabled:
             settings = M3uaSettings(m.point_code, m.routing_context, m.network_appearance, m.heartbeat)
@@ -32,8 +32,8 @@
                 loop, core, settings, self._classes(m), m.circuits, config.connect_timeout_ns
             )
             core.update_endpoints(SOURCE, True, _desks(m))
-            self.front = M3uaFrontend(loop, core, m.listen, settings, self._classes(m), _numbers(m))
-            self.front.start()
+            self.frontend = M3uaFrontend(loop, core, m.listen, settings, self._classes(m), _numbers(m))
+            self.frontend.start()
         if operator.etcd.enabled:
             self.etcd = EtcdClient(loop, core, operator.etcd.address, operator.etcd.prefix)
             self.etcd.start()
@@ -43,10 +43,10 @@
 
         Who listens where, and under which point code, is agreed with the peers: that needs a restart.
         """
-        if self.front is not None and operator.m3ua.enabled:
+        if self.frontend is not None and operator.m3ua.enabled:
             self.core.update_endpoints(SOURCE, True, _desks(operator.m3ua))
             self.back.update_mappings(self._classes(operator.m3ua))
-            self.front.update_mappings(self._classes(operator.m3ua), _numbers(operator.m3ua))
+            self.frontend.update_mappings(self._classes(operator.m3ua), _numbers(operator.m3ua))
         if self.etcd is not None and operator.etcd.enabled:
             self.etcd.change_source(operator.etcd.address, operator.etcd.prefix)
         if _fixed(operator) != _fixed(self.operator):
--- a/arrowrail/run/result.py
+++ b/arrowrail/run/read_result.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class ReadResult:
     """What the records mean, or why they can't take effect."""
 
     value: Any | None
--- a/arrowrail/run/reader.py
+++ b/arrowrail/run/reader.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from arrowrail.run.result import Result
+from arrowrail.run.read_result import ReadResult
 
 SETTLED_S = 0.15  # a file changed more lately may still be in the making
 LONGEST_WAIT_S = 3.0  # for a folder that does not come to rest
@@ -38,7 +38,7 @@
     return tuple(sorted(found))
 
 
-def at_rest(path: Path, check: Callable[[], Result]) -> Result:
+def read_when_stable(path: Path, check: Callable[[], ReadResult]) -> ReadResult:
     """Check once the files have come to rest: one half written is not taken for a whole one."""
     end = time.monotonic() + LONGEST_WAIT_S
     while True:
@@ -53,17 +53,17 @@
             return result
 
 
-def _faulty(faults: list[Any]) -> Result:
+def _faulty(faults: list[Any]) -> ReadResult:
     most = faults[:MOST_LINES]
-    return Result(None, tuple(str(f) for f in most), tuple(f.code for f in most))
+    return ReadResult(None, tuple(str(f) for f in most), tuple(f.code for f in most))
 
 
-def sidecar(folder: Path, name: str, numbers: dict[str, int]) -> Result:
+def read_sidecar(folder: Path, name: str, numbers: dict[str, int]) -> ReadResult:
     from arrowrail.config.checker import check_application, faults_of_application
     from arrowrail.config.diagnostics import Diagnostic, Location, quote, suggestion
-    from arrowrail.sidecar.compile import compile_
+    from arrowrail.sidecar.config import build_config
 
-    def read() -> Result:
+    def read() -> ReadResult:
         checked = check_application(folder, name)
         faults = faults_of_application(checked, name)
         if not faults and name not in checked.applications:
@@ -71,24 +71,24 @@
             faults = [Diagnostic("AR321", Location(str(folder)), "", wrong)]
         if faults:
             return _faulty(faults)
-        return Result(compile_(checked.applications[name], checked.inventories[name], numbers))
+        return ReadResult(build_config(checked.applications[name], checked.inventories[name], numbers))
 
-    return at_rest(folder, read)
+    return read_when_stable(folder, read)
 
 
-def controller(path: Path, class_names: list[str]) -> Result:
+def read_controller(path: Path, class_names: list[str]) -> ReadResult:
     from arrowrail.config.controller_file import read_controller_file
 
-    def read() -> Result:
+    def read() -> ReadResult:
         found, faults = read_controller_file(path, class_names)
-        return _faulty(list(faults)) if found is None else Result(found)
+        return _faulty(list(faults)) if found is None else ReadResult(found)
 
-    return at_rest(path, read)
+    return read_when_stable(path, read)
 
 
 def main() -> int:
     asked = pickle.loads(sys.stdin.buffer.read())
-    kinds: dict[str, Callable[..., Result]] = {"sidecar": sidecar, "controller": controller}
+    kinds: dict[str, Callable[..., ReadResult]] = {"sidecar": read_sidecar, "controller": read_controller}
     sys.stdout.buffer.write(pickle.dumps(kinds[asked[0]](*asked[1:])))
     return 0
 
--- a/arrowrail/run/reading.py
+++ b/arrowrail/run/reader_process.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from arrowrail.loop import READ, Loop
-from arrowrail.run.result import Result
+from arrowrail.run.read_result import ReadResult
 from arrowrail.state.timers import Timer
 
 LONGEST_S = 60
 MAX_RESULT = 64 << 20  # bytes of a result: an inventory of 10,000 exchanges is a tenth of it
 CHUNK = 256 * 1024
 Asked = tuple[Any, ...]  # the reader's kind and its arguments
-Done = Callable[[Result], None]
+Done = Callable[[ReadResult], None]
 
 
 def _start(asked: Asked) -> subprocess.Popen[bytes]:
@@ -29,7 +29,7 @@
     return child
 
 
-def read_now(*asked: Any) -> Result:
+def read_and_wait(*asked: Any) -> ReadResult:
     """At the start, before anything is served: wait for it."""
     child = _start(asked)
     assert child.stdout is not None
@@ -40,17 +40,17 @@
     except subprocess.TimeoutExpired:
         child.kill()
         child.wait()
-        return Result(None, (f"not read within {LONGEST_S} s",))
+        return ReadResult(None, (f"not read within {LONGEST_S} s",))
 
 
-def _result(data: bytes, code: int | None) -> Result:
+def _result(data: bytes, code: int | None) -> ReadResult:
     if code != 0 or not data:
-        return Result(None, (f"the reader ended with {code}",))
+        return ReadResult(None, (f"the reader ended with {code}",))
     result = pickle.loads(data)
-    return result if isinstance(result, Result) else Result(None, ("the reader brought no result",))
+    return result if isinstance(result, ReadResult) else ReadResult(None, ("the reader brought no result",))
 
 
-class Reading:
+class ReaderProcess:
     """One reading under way at most; asked again meanwhile, it begins anew once that one has ended."""
 
     def __init__(self, loop: Loop, done: Done) -> None:
@@ -64,7 +64,7 @@
     def busy(self) -> bool:
         return self._child is not None
 
-    def ask(self, *asked: Any) -> None:
+    def request(self, *asked: Any) -> None:
         if self._child is not None:
             # What is being read may be older than the file that this signal speaks of.
             self._again = asked
@@ -72,7 +72,7 @@
         try:
             child = self._child = _start(asked)
         except OSError as why:  # no descriptor or no memory for a process
-            self.done(Result(None, (f"the reader can't be started: {why.strerror}",)))
+            self.done(ReadResult(None, (f"the reader can't be started: {why.strerror}",)))
             return
         assert child.stdout is not None
         self._data = bytearray()
@@ -106,15 +106,15 @@
         if self._child is not None:
             self._child.kill()
             self._reap()
-            self._end(Result(None, (f"not read within {LONGEST_S} s",)))
+            self._end(ReadResult(None, (f"not read within {LONGEST_S} s",)))
 
-    def _end(self, result: Result) -> None:
+    def _end(self, result: ReadResult) -> None:
         self._child = None
         if self._late is not None:
             self._late.cancel()
         again, self._again = self._again, None
         if again is not None:
-            self.ask(*again)  # only the latest counts
+            self.request(*again)  # only the latest counts
         else:
             self.done(result)
 
--- a/arrowrail/run/wake.py
+++ b/arrowrail/run/signals.py
@@ -12,7 +12,7 @@
 RELOAD = signal.SIGHUP  # its default would end the process and every call in it
 
 
-def on_signal(loop: Loop, stop: Callable[[int], None], reload: Callable[[], None]) -> None:
+def handle_signals(loop: Loop, stop: Callable[[int], None], reload: Callable[[], None]) -> None:
     """Call them from the loop, never from inside a signal handler."""
     inside, outside = socket.socketpair()
     for end in (inside, outside):
--- a/arrowrail/sidecar/admission.py
+++ b/arrowrail/sidecar/admission.py
@@ -15,8 +15,8 @@
 )
 from arrowrail.limits.limiter import Limiter
 from arrowrail.pools.route_table import RouteAvailability, RouteTable
-from arrowrail.sidecar.compile import Compiled
-from arrowrail.sidecar.listing import SOURCE, Listing
+from arrowrail.sidecar.config import SidecarConfig
+from arrowrail.sidecar.exchange_list import SIDECAR_SOURCE, ExchangeList
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, Endpoint, EndpointEntry
 from trackhatch import interface
 
@@ -26,30 +26,32 @@
 NO_WAY = FinalResponse(REFUSED, outcome=NO_ROUTE)
 
 
-class RecordsAdmission:
-    def __init__(self, compiled: Compiled, now: int) -> None:
-        self.compiled = compiled
-        self.limiter = Limiter(compiled.limits, now)
-        self.route_table = RouteTable(compiled.pools)
-        self.listing = Listing()
+class SidecarAdmission:
+    def __init__(self, config: SidecarConfig, now: int) -> None:
+        self.config = config
+        self.limiter = Limiter(config.limits, now)
+        self.route_table = RouteTable(config.pools)
+        self.exchange_list = ExchangeList()
         self.refused: dict[str, int] = {}  # by reason, for operators
         self._proved: dict[int, int] = {}  # by exchange: when a call of ours last got an answer there
         self._offices: dict[int, dict[int, str]] = {}  # by exchange: the state of each machine there
 
-    def use(self, compiled: Compiled, now: int) -> tuple[list[EndpointEntry], list[interface.PoolUpdate]]:
+    def update_config(
+        self, config: SidecarConfig, now: int
+    ) -> tuple[list[EndpointEntry], list[interface.PoolUpdate]]:
         """A reload: what is open goes on under what it began with; the news is for what comes."""
-        self.compiled = compiled
-        self.limiter.update_config(compiled.limits, now)
-        news = _news(self.route_table.update_config(compiled.pools))
-        return self.listing.use(compiled.lines), news
+        self.config = config
+        self.limiter.update_config(config.limits, now)
+        news = _news(self.route_table.update_config(config.pools))
+        return self.exchange_list.update_config(config.exchanges), news
 
     # --- The core's questions ---------------------------------------------------------------------------
 
     def supports_class(self, class_name: str) -> bool:
-        return class_name in self.compiled.classes
+        return class_name in self.config.classes
 
     def admit(self, now: int, line: object, offer: SetUpParams) -> tuple[SetUpParams, FinalResponse | None]:
-        facts = self.compiled.classes.get(offer.class_name)
+        facts = self.config.classes.get(offer.class_name)
         routing = self.route_table.route_call(offer.class_name, offer.called_number, offer.district)
         if facts is None or routing.failure_reason:
             self._count(routing.failure_reason or "class not carried")
@@ -67,16 +69,16 @@
         self.limiter.setup_ended(now, offer.class_name, line, took_ns)
 
     def attempt_timeout_ns(self, offer: SetUpParams) -> int:
-        facts = self.compiled.classes.get(offer.class_name)
+        facts = self.config.classes.get(offer.class_name)
         return facts.time_out_ns if facts is not None else 0
 
     def filter_entries(
         self, source: str, whole: bool, lines: Iterable[EndpointEntry]
     ) -> tuple[str, bool, list[EndpointEntry]]:
         """What any source tells takes effect through the listing, in its words."""
-        if source == SOURCE:
-            return SOURCE, False, list(lines)
-        return SOURCE, False, self.listing.heard(whole, lines)
+        if source == SIDECAR_SOURCE:
+            return SIDECAR_SOURCE, False, list(lines)
+        return SIDECAR_SOURCE, False, self.exchange_list.apply_update(whole, lines)
 
     def endpoints_changed(self, desks: Iterable[Endpoint]) -> list[interface.PoolUpdate]:
         """An exchange is in use while any machine of it is in service: the old one may drain beside it."""
@@ -101,7 +103,7 @@
         self._proved[desk.entry.exchange] = now
         return _news(self.route_table.record_answer(desk.entry.exchange))
 
-    def doubted(self, now: int, exchanges: Iterable[int]) -> list[interface.PoolUpdate]:
+    def set_probe_failures(self, now: int, exchanges: Iterable[int]) -> list[interface.PoolUpdate]:
         """Exchanges that others' probes found silent; where our own calls are answered, those know better."""
         lately = now - PROOF_NS
         return _news(
@@ -110,7 +112,7 @@
 
     # --- Now and then -----------------------------------------------------------------------------------
 
-    def due(self, now: int) -> list[interface.PoolUpdate]:
+    def start_due_trials(self, now: int) -> list[interface.PoolUpdate]:
         return _news(self.route_table.start_due_trials(now))
 
     def _count(self, reason: str) -> None:
--- a/arrowrail/sidecar/compile.py
+++ b/arrowrail/sidecar/config.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class ExchangeConfig:
     """An exchange of the inventory."""
 
     name: str
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClassFacts:
+class ClassConfig:
     """What the admission controller needs to know of a class that the application brings in."""
 
     name: str
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Links:
+class TransportConfig:
     """Sockets and files: what a reload leaves as it is."""
 
     sip: str
@@ -62,28 +62,28 @@
     source_address: str
     source_prefix: str
     descriptors: int
-    connect_time_out_ns: int
+    connect_timeout_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Compiled:
+class SidecarConfig:
     application: str
     site: str
     settings: interface.Settings
     limits: limits.LimitsConfig
     pools: pools.RoutingConfig
-    classes: Mapping[str, ClassFacts]
-    lines: tuple[Line, ...]
-    links: Links
+    classes: Mapping[str, ClassConfig]
+    exchanges: tuple[ExchangeConfig, ...]
+    transport: TransportConfig
     connections: int
     orphans_ns: int
     log_level: str
     log_form: str
-    links_each: int
+    connections_per_exchange: int
     group: GroupConfig | None = None
 
 
-def compile_(a: Application, v: Inventory, numbers: Mapping[str, int] | None = None) -> Compiled:
+def build_config(a: Application, v: Inventory, numbers: Mapping[str, int] | None = None) -> SidecarConfig:
     """``numbers`` keeps exchanges the numbers that a running sidecar has given them."""
     if v.site is None:
         raise ValueError("no site")
@@ -99,7 +99,7 @@
         if name not in known:
             known[name] = max(known.values(), default=FIRST_NUMBER - 1) + 1
     plan = _pools(a, v, known)
-    return Compiled(
+    return SidecarConfig(
         a.name, v.site.label, _settings(a, v, plan), _limits(a, v), plan, _classes(a, v),
         tuple(_line(v.exchanges[n], known[n], v) for n in sorted(reached) if n in v.exchanges),
         _links(a, v.site), a.limits.connections, a.orphans, a.log.level, a.log.form,
@@ -118,10 +118,12 @@
     )  # fmt: skip
 
 
-def _line(e: Exchange, number: int, v: Inventory) -> Line:
+def _line(e: Exchange, number: int, v: Inventory) -> ExchangeConfig:
     district = v.districts.get(e.district)
     zone = (district.zone if district is not None else "") or e.district
-    return Line(e.name, number, e.address, zone, STATES[e.state], e.signalling, e.point_code or 0, e.circuits)
+    return ExchangeConfig(
+        e.name, number, e.address, zone, STATES[e.state], e.signalling, e.point_code or 0, e.circuits
+    )
 
 
 def _pools(a: Application, v: Inventory, numbers: Mapping[str, int]) -> pools.RoutingConfig:
@@ -143,9 +145,9 @@
     return pools.RoutingConfig(used, routes, prefixes)
 
 
-def _classes(a: Application, v: Inventory) -> dict[str, ClassFacts]:
+def _classes(a: Application, v: Inventory) -> dict[str, ClassConfig]:
     return {
-        c.name: ClassFacts(c.name, v.classes[c.name].width, c.give_up, c.time_out, c.category, c.requirement)
+        c.name: ClassConfig(c.name, v.classes[c.name].width, c.give_up, c.time_out, c.category, c.requirement)
         for c in a.calls.values()
     }
 
@@ -158,8 +160,8 @@
     return limits.build_limits(lim.open, lim.rate, lim.burst, lim.connection_share, worths, shares, wait)
 
 
-def _links(a: Application, site: Site) -> Links:
-    return Links(
+def _links(a: Application, site: Site) -> TransportConfig:
+    return TransportConfig(
         a.listen.sip or "", a.listen.m3ua or "", a.m3ua.point_code, a.m3ua.routing_context,
         a.m3ua.network_appearance, a.m3ua.heartbeat, a.list.kind, a.list.address or "", a.list.prefix,
         a.descriptors, site.connect_time_out,
--- a/arrowrail/sidecar/listing.py
+++ b/arrowrail/sidecar/exchange_list.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from arrowrail.sidecar.compile import Line
+from arrowrail.sidecar.config import ExchangeConfig
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, EndpointEntry
 
 RANKS = {IN_SERVICE: 0, TERMINATING: 1, TERMINATED: 2}
-SOURCE = "site"
+SIDECAR_SOURCE = "site"
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,27 +32,27 @@
     return f"{name}@{address}"
 
 
-class Listing:
+class ExchangeList:
     def __init__(self) -> None:
-        self._lines: dict[str, Line] = {}
+        self._lines: dict[str, ExchangeConfig] = {}
         self._heard: dict[str, Heard] = {}
         self._shown: dict[str, EndpointEntry] = {}  # by uid, as it was told last
-        self._leaving: dict[str, EndpointEntry] = {}  # by uid: no longer named, and not yet empty
-        self.unknown = 0  # lines of a source that name no exchange of the inventory
+        self._removed: dict[str, EndpointEntry] = {}  # by uid: no longer named, and not yet empty
+        self.unknown_count = 0  # lines of a source that name no exchange of the inventory
 
-    def use(self, lines: Iterable[Line]) -> list[EndpointEntry]:
+    def update_config(self, lines: Iterable[ExchangeConfig]) -> list[EndpointEntry]:
         """The inventory, at the start and after a reload; returns the news of it."""
         self._lines = {line.name: line for line in lines}
         return self._news()
 
-    def heard(self, whole: bool, lines: Iterable[EndpointEntry]) -> list[EndpointEntry]:
+    def apply_update(self, whole: bool, lines: Iterable[EndpointEntry]) -> list[EndpointEntry]:
         """News of a source; exchanges absent from a whole list drain."""
         named = set()
         for told in lines:
             name = told.uid.partition("@")[0]
             named.add(name)
             if name not in self._lines:
-                self.unknown += 1
+                self.unknown_count += 1
                 continue
             known = self._heard.get(name)
             address = told.address or (known.address if known is not None else "")
@@ -63,30 +63,30 @@
                     self._heard[name] = Heard(TERMINATING, "", 0)
         return self._news()
 
-    def emptied(self, uids: Iterable[str]) -> list[EndpointEntry]:
+    def remove_drained(self, uids: Iterable[str]) -> list[EndpointEntry]:
         """Of those that leave, the ones at which nothing stands any more: gone."""
-        over = [self._leaving.pop(uid) for uid in uids if uid in self._leaving]
+        over = [self._removed.pop(uid) for uid in uids if uid in self._removed]
         return [replace(told, state=TERMINATED) for told in over]
 
     @property
-    def leaving(self) -> Mapping[str, EndpointEntry]:
-        return self._leaving
+    def removed(self) -> Mapping[str, EndpointEntry]:
+        return self._removed
 
     def _news(self) -> list[EndpointEntry]:
         now = {told.uid: told for told in map(self._told, self._lines.values())}
         news: list[EndpointEntry] = []
         for uid, told in self._shown.items():
             if uid not in now and told.state != TERMINATED:
-                self._leaving[uid] = replace(told, state=TERMINATING)
-                news.append(self._leaving[uid])
+                self._removed[uid] = replace(told, state=TERMINATING)
+                news.append(self._removed[uid])
         for uid, told in now.items():
-            self._leaving.pop(uid, None)
+            self._removed.pop(uid, None)
             if self._shown.get(uid) != told:
                 news.append(told)
         self._shown = now
         return news
 
-    def _told(self, line: Line) -> EndpointEntry:
+    def _told(self, line: ExchangeConfig) -> EndpointEntry:
         heard = self._heard.get(line.name)
         address, state, since = line.address, line.state, 0
         if heard is not None:
--- a/tests/live.py
+++ b/tests/live.py
@@ -20,7 +20,7 @@
 from arrowrail.config import records
 from arrowrail.config.records import Controller
 from arrowrail.run.config import Config
-from arrowrail.run.main import Program
+from arrowrail.run.main import CallController
 from arrowrail.wire.binary import messages as binary
 from arrowrail.wire.bus.messages import event_from_json
 from arrowrail.wire.m3ua import messages as m3ua
@@ -177,28 +177,28 @@
     """The program in a thread of this process, so that tests can look at its core."""
 
     def __init__(self, config: Config, operator: Controller | None, per_desk: int) -> None:
-        self.program = Program(config, operator)
-        back: Any = self.program.core.backends["binary"]
+        self.controller = CallController(config, operator)
+        back: Any = self.controller.core.backends["binary"]
         back.connections_per_exchange = per_desk
-        self.core = self.program.core
+        self.core = self.controller.core
         self._end = False
         self._inside, self._outside = socket.socketpair()
-        self.program.loop.watch(self._inside, 1, self._woken)
+        self.controller.loop.watch(self._inside, 1, self._woken)
         self._asked: queue.SimpleQueue[tuple[Callable[[], Any], queue.SimpleQueue[Any]]] = queue.SimpleQueue()
         self.failure: BaseException | None = None
         self._thread = threading.Thread(target=self._run, daemon=True)
-        self.program.start()
+        self.controller.start()
         self._thread.start()
 
     @property
     def port(self) -> int:
-        assert self.program.front.listener is not None
-        return self.program.front.listener.port
+        assert self.controller.frontend.listener is not None
+        return self.controller.frontend.listener.port
 
     def _run(self) -> None:
         try:
             while not self._end:
-                self.program.turn()
+                self.controller.run_iteration()
                 while not self._asked.empty():
                     look, answer = self._asked.get()
                     answer.put(look())
--- a/tests/test_live_m3ua.py
+++ b/tests/test_live_m3ua.py
@@ -459,8 +459,8 @@
         caller.send(1, IAM, called_number="11")
         desk.send(desk.isup(IAM).cic, ANM)
         caller.isup(ANM, 1)
-        program = run.program
-        run.look(lambda: program.reload(program.config, configured(first, both)))
+        controller = run.controller
+        run.look(lambda: controller.reload(controller.config, configured(first, both)))
         other = M3uaPeer(ports[1].accept(), OTHER, OWN).let_up()
         run.until(
             lambda: (
@@ -471,7 +471,7 @@
         caller.send(2, IAM, called_number="21")
         other.send(other.isup(IAM).cic, ANM)
         caller.isup(ANM, 2)
-        run.look(lambda: program.reload(program.config, configured(both)))
+        run.look(lambda: controller.reload(controller.config, configured(both)))
         assert caller.isup(REL).cic == 1  # its exchange is listed no more
 
 
--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -190,13 +190,13 @@
         other.send("BYE", "00000000000000ff")
         assert other.answer("00000000000000ff", "BYE").status == 481
         first.sock.close()
-        run.until(lambda: len(run.program.front.callers) == 1)
+        run.until(lambda: len(run.controller.frontend.callers) == 1)
         tell(peer, binary.RELEASE, B, cause=41)
         assert other.bye(B).headers["reason"] == "Q.850;cause=41"
         other.sock.close()
-        run.until(lambda: not len(run.program.front.callers))
+        run.until(lambda: not len(run.controller.frontend.callers))
         tell(peer, binary.RELEASE, C, cause=16)
-        run.until(lambda: run.program.front.releases.pending)
+        run.until(lambda: run.controller.frontend.releases.pending)
         third = Caller(run.port)
         assert third.bye(C).call_id == C  # on the next that opens
         third.sock.close()  # before it confirmed: the release may have crossed the close
@@ -534,7 +534,7 @@
         caller.sock.sendall(body)
         caller.sock.shutdown(socket.SHUT_WR)
         assert caller.sock.recv(100) == b""  # an end in good order, no reset
-        run.until(lambda: not run.program.loop.closing_streams)
+        run.until(lambda: not run.controller.loop.closing_streams)
 
 
 def test_an_unreadable_desk_message_drops_that_connection_only() -> None:
@@ -601,13 +601,13 @@
         assert last.take().status == 200
         tell(peer, binary.ANSWER, A)
         assert busy.answer(A).status == 200
-        assert len(run.program.front.callers) <= 8
+        assert len(run.controller.frontend.callers) <= 8
 
 
 def test_a_full_table_closes_no_caller_that_has_just_come_or_whose_input_is_unread() -> None:
     desk = Listening()
     with running(target("d1", desk.address, 1), sockets=80 + 8) as run:
-        peer, front = desk.desk(), run.program.front
+        peer, front = desk.desk(), run.controller.frontend
         holders = [Caller(run.port) for _ in range(8)]
         for holder in holders:  # they asked once, long ago, and hold their connections for good
             holder.send("OPTIONS", B)
@@ -673,7 +673,7 @@
                 while True:
                     fillers.append(os.dup(0))
             fresh.connect(("127.0.0.1", run.port))  # waits in the backlog
-            run.until(lambda: run.program.front.listener._paused)  # type: ignore[union-attr]
+            run.until(lambda: run.controller.frontend.listener._paused)  # type: ignore[union-attr]
             tell(peer, binary.ANSWER, A)
             assert busy.answer(A).status == 200
         finally:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -21,12 +21,12 @@
 from arrowrail.core.requests import NO_ROUTE, OVER_LIMIT, REFUSED, SetUpParams
 from arrowrail.lab.processes import free_ports
 from arrowrail.loop import Loop
-from arrowrail.run.reader import at_rest, controller, sidecar
-from arrowrail.run.reading import Reading, read_now
-from arrowrail.run.result import Result
-from arrowrail.sidecar.admission import RecordsAdmission
-from arrowrail.sidecar.compile import Compiled, compile_
-from arrowrail.sidecar.listing import Listing
+from arrowrail.run.read_result import ReadResult
+from arrowrail.run.reader import read_controller, read_sidecar, read_when_stable
+from arrowrail.run.reader_process import ReaderProcess, read_and_wait
+from arrowrail.sidecar.admission import SidecarAdmission
+from arrowrail.sidecar.config import SidecarConfig, build_config
+from arrowrail.sidecar.exchange_list import ExchangeList
 from arrowrail.sidecar.main import Sidecar
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, Endpoint, EndpointEntry
 from arrowrail.wire.binary import messages as binary
@@ -45,12 +45,12 @@
     inventory: str = INVENTORY_TEXT,
     application: str = LIFTS_TEXT,
     numbers: dict[str, int] | None = None,
-) -> Compiled:
+) -> SidecarConfig:
     (tmp_path / "inventory.rail").write_text(inventory)
     (tmp_path / "lifts.rail").write_text(application)
     checked = check_folder(tmp_path)
     assert checked.valid, [str(f) for f in checked.diagnostics]
-    return compile_(checked.applications["lifts"], checked.inventories["lifts"], numbers)
+    return build_config(checked.applications["lifts"], checked.inventories["lifts"], numbers)
 
 
 # --- What the records come to ----------------------------------------------------------------------------
@@ -70,13 +70,13 @@
     assert (
         c.pools.routes["alarm@fukuoka"].pools == ("f", "k") and c.pools.district_by_prefix["092"] == "fukuoka"
     )
-    assert [line.number for line in c.lines] == [1, 2, 3, 4] and c.lines[2].circuits == 60
+    assert [line.number for line in c.exchanges] == [1, 2, 3, 4] and c.exchanges[2].circuits == 60
     assert c.classes["alarm"].width == 2 and c.limits.max_open == 100
 
 
 def test_a_running_sidecar_s_numbers_are_kept(tmp_path: Path) -> None:
     c = compiled(tmp_path, numbers={"k-2": 1, "f-1": 9})
-    assert {line.name: line.number for line in c.lines} == {"k-2": 1, "f-1": 9, "f-2": 10, "k-1": 11}
+    assert {line.name: line.number for line in c.exchanges} == {"k-2": 1, "f-1": 9, "f-2": 10, "k-1": 11}
 
 
 # --- The list of several sources -------------------------------------------------------------------------
@@ -87,45 +87,47 @@
 
 
 def test_the_state_that_lets_less_through_wins(tmp_path: Path) -> None:
-    lines = compiled(tmp_path).lines
-    listing = Listing()
-    assert set(states(listing.use(lines)).values()) == {IN_SERVICE}
+    lines = compiled(tmp_path).exchanges
+    exchange_list = ExchangeList()
+    assert set(states(exchange_list.update_config(lines)).values()) == {IN_SERVICE}
     drains = EndpointEntry("f-1", "127.0.0.1:6101", "z", 0, TERMINATING, 0)
-    assert states(listing.heard(False, [drains])) == {"f-1@127.0.0.1:6101": TERMINATING}
+    assert states(exchange_list.apply_update(False, [drains])) == {"f-1@127.0.0.1:6101": TERMINATING}
     # The operator marks another one; a source that still names it in service does not bring it back.
     marked = [replace(line, state=TERMINATED) if line.name == "k-1" else line for line in lines]
-    assert states(listing.use(marked)) == {"k-1@127.0.0.1:6103": TERMINATED}
+    assert states(exchange_list.update_config(marked)) == {"k-1@127.0.0.1:6103": TERMINATED}
     still = EndpointEntry("k-1", "127.0.0.1:6103", "z", 0, IN_SERVICE, 0)
-    assert listing.heard(False, [still]) == []
-    assert states(listing.heard(False, [replace(drains, state=IN_SERVICE)])) == {
+    assert exchange_list.apply_update(False, [still]) == []
+    assert states(exchange_list.apply_update(False, [replace(drains, state=IN_SERVICE)])) == {
         "f-1@127.0.0.1:6101": IN_SERVICE
     }
 
 
 def test_what_a_whole_list_does_not_name_drains_and_strangers_are_counted(tmp_path: Path) -> None:
-    listing = Listing()
-    listing.use(compiled(tmp_path).lines)
+    exchange_list = ExchangeList()
+    exchange_list.update_config(compiled(tmp_path).exchanges)
     named = [EndpointEntry(n, "", "z", 0, IN_SERVICE, 0) for n in ("f-1", "f-2", "k-1", "stranger")]
-    assert states(listing.heard(True, named)) == {"k-2@127.0.0.1:6104": TERMINATING}
-    assert listing.unknown == 1
+    assert states(exchange_list.apply_update(True, named)) == {"k-2@127.0.0.1:6104": TERMINATING}
+    assert exchange_list.unknown_count == 1
 
 
 def test_one_that_leaves_the_inventory_drains_and_goes_once_it_is_empty(tmp_path: Path) -> None:
-    lines = compiled(tmp_path).lines
-    listing = Listing()
-    listing.use(lines)
-    assert states(listing.use(lines[1:])) == {"f-1@127.0.0.1:6101": TERMINATING}
-    assert listing.use(lines[1:]) == [] and list(listing.leaving) == ["f-1@127.0.0.1:6101"]
-    assert states(listing.emptied(["f-1@127.0.0.1:6101"])) == {"f-1@127.0.0.1:6101": TERMINATED}
-    assert states(listing.use(lines)) == {"f-1@127.0.0.1:6101": IN_SERVICE}
+    lines = compiled(tmp_path).exchanges
+    exchange_list = ExchangeList()
+    exchange_list.update_config(lines)
+    assert states(exchange_list.update_config(lines[1:])) == {"f-1@127.0.0.1:6101": TERMINATING}
+    assert exchange_list.update_config(lines[1:]) == [] and list(exchange_list.removed) == [
+        "f-1@127.0.0.1:6101"
+    ]
+    assert states(exchange_list.remove_drained(["f-1@127.0.0.1:6101"])) == {"f-1@127.0.0.1:6101": TERMINATED}
+    assert states(exchange_list.update_config(lines)) == {"f-1@127.0.0.1:6101": IN_SERVICE}
 
 
 def test_at_another_address_it_is_another_machine(tmp_path: Path) -> None:
-    lines = compiled(tmp_path).lines
-    listing = Listing()
-    listing.use(lines)
+    lines = compiled(tmp_path).exchanges
+    exchange_list = ExchangeList()
+    exchange_list.update_config(lines)
     moved = EndpointEntry("f-1", "127.0.0.1:7000", "z", 0, IN_SERVICE, 5)
-    assert states(listing.heard(False, [moved])) == {
+    assert states(exchange_list.apply_update(False, [moved])) == {
         "f-1@127.0.0.1:6101": TERMINATING, "f-1@127.0.0.1:7000": IN_SERVICE,
     }  # fmt: skip
 
@@ -140,7 +142,7 @@
 
 def test_the_door_places_calls_and_turns_away_what_has_no_way_or_no_room(tmp_path: Path) -> None:
     c = compiled(tmp_path)
-    admission = RecordsAdmission(replace(c, limits=replace(c.limits, max_open=3)), T0)
+    admission = SidecarAdmission(replace(c, limits=replace(c.limits, max_open=3)), T0)
     admission.route_table.update_states([(n, IN_SERVICE) for n in (1, 2, 3, 4)])
     placed, refusal = admission.admit(T0, 1, offer())
     assert refusal is None
@@ -163,12 +165,12 @@
 
 
 def test_an_answer_to_a_call_of_our_own_outweighs_others_probes(tmp_path: Path) -> None:
-    admission = RecordsAdmission(compiled(tmp_path), T0)
+    admission = SidecarAdmission(compiled(tmp_path), T0)
     admission.route_table.update_states([(n, IN_SERVICE) for n in (1, 2, 3, 4)])
     told = EndpointEntry("f-1@127.0.0.1:6101", "127.0.0.1:6101", "z", 1, IN_SERVICE, 0)
     admission.attempt_ended(T0, Endpoint(1, "site", told), "served", 0)
-    assert admission.doubted(T0 + S, [1]) == []
-    news = admission.doubted(T0 + 6 * S, [1])
+    assert admission.set_probe_failures(T0 + S, [1]) == []
+    news = admission.set_probe_failures(T0 + 6 * S, [1])
     assert {n.exchanges for n in news} == {(2,)} and len(news) == 2
 
 
@@ -177,41 +179,41 @@
 
 def test_the_reader_brings_the_records_or_every_fault(tmp_path: Path) -> None:
     compiled(tmp_path)
-    found = read_now("sidecar", tmp_path, "lifts", {"k-2": 7})
-    assert found.faults == () and found.value is not None and found.value.lines[3].number == 7
-    assert sidecar(tmp_path, "lfts", {}).codes == ("AR321",)
+    found = read_and_wait("sidecar", tmp_path, "lifts", {"k-2": 7})
+    assert found.faults == () and found.value is not None and found.value.exchanges[3].number == 7
+    assert read_sidecar(tmp_path, "lfts", {}).codes == ("AR321",)
     (tmp_path / "lifts.rail").write_text(LIFTS_TEXT.replace("3s", "3"))
-    found = read_now("sidecar", tmp_path, "lifts", {})
+    found = read_and_wait("sidecar", tmp_path, "lifts", {})
     assert found.value is None and found.codes == ("AR203", "AR203")
-    assert controller(tmp_path / "none.rail", []).codes == ("AR101",)
-    assert read_now("no such kind").value is None
+    assert read_controller(tmp_path / "none.rail", []).codes == ("AR101",)
+    assert read_and_wait("no such kind").value is None
 
 
 def test_a_file_in_the_making_is_waited_for(tmp_path: Path) -> None:
     path = tmp_path / "a.rail"
     seen: list[str] = []
 
-    def look() -> Result:
+    def look() -> ReadResult:
         seen.append(path.read_text())
         if len(seen) == 1:
             path.write_text("whole")  # it changes while it is read
-        return Result(seen[-1])
+        return ReadResult(seen[-1])
 
     path.write_text("half")
-    assert at_rest(tmp_path, look).value == "whole" and len(seen) == 2
+    assert read_when_stable(tmp_path, look).value == "whole" and len(seen) == 2
 
 
 def test_only_the_latest_of_several_readings_counts(tmp_path: Path) -> None:
     compiled(tmp_path)
-    loop, found = Loop(), list[Result]()
-    reading = Reading(loop, found.append)
-    reading.ask("sidecar", tmp_path, "nobody", {})
-    reading.ask("sidecar", tmp_path, "nobody either", {})
-    reading.ask("sidecar", tmp_path, "lifts", {})
+    loop, found = Loop(), list[ReadResult]()
+    reader = ReaderProcess(loop, found.append)
+    reader.request("sidecar", tmp_path, "nobody", {})
+    reader.request("sidecar", tmp_path, "nobody either", {})
+    reader.request("sidecar", tmp_path, "lifts", {})
     end = time.monotonic() + 30
     while not found and time.monotonic() < end:
         loop.run_once()
-    assert len(found) == 1 and found[0].value is not None and not reading.busy
+    assert len(found) == 1 and found[0].value is not None and not reader.busy
 
 
 # --- On sockets -------------------------------------------------------------------------------------------
@@ -228,7 +230,7 @@
         self.sidecar = Sidecar(self.compiled, tmp_path, 7)
         self.sidecar.start()
 
-    def compile(self, **edits: list[tuple[str, str]]) -> Compiled:
+    def compile(self, **edits: list[tuple[str, str]]) -> SidecarConfig:
         inventory, application = INVENTORY_TEXT, LIFTS_TEXT
         for port, name in zip(("6101", "6102", "6103", "6104"), self.exchanges, strict=True):
             inventory = inventory.replace(f"127.0.0.1:{port}", self.exchanges[name].address)
@@ -246,8 +248,8 @@
         end = time.monotonic() + 10
         while not until():
             assert time.monotonic() < end, f"never came: {what}"
-            self.sidecar.program.loop.timers.schedule(self.sidecar.program.loop.now + MS, lambda: None)
-            self.sidecar.program.turn()
+            self.sidecar.controller.loop.timers.schedule(self.sidecar.controller.loop.now + MS, lambda: None)
+            self.sidecar.controller.run_iteration()
 
 
 class Turning:
@@ -261,10 +263,10 @@
         self.thread.start()
 
     def _run(self) -> None:
-        program = self.beside.sidecar.program
+        program = self.beside.sidecar.controller
         while not self.end:
             program.loop.timers.schedule(program.loop.now + 2 * MS, lambda: None)
-            program.turn()
+            program.run_iteration()
 
 
 @contextmanager
@@ -344,8 +346,8 @@
         set_up(links["f-1"], "a" * 16)
         moved = b.compile(inventory=[("[exchange.f-1, exchange.f-2]", "[exchange.f-2]"),
                                      ("[exchange.k-1,", "[exchange.f-1, exchange.k-1,")])  # fmt: skip
-        b.sidecar.program.loop.timers.schedule(0, lambda: b.sidecar.take_up(moved))
-        wait_until(lambda: b.sidecar.compiled is moved)
+        b.sidecar.controller.loop.timers.schedule(0, lambda: b.sidecar.apply_config(moved))
+        wait_until(lambda: b.sidecar.config is moved)
         # What was out ends under what it began with; what comes goes to the pool as it is now.
         for n in range(4):
             stands(caller, links["f-2"], f"{n:016x}")
@@ -363,12 +365,12 @@
         tell(links["f-1"], binary.ANSWER, "a" * 16)
         assert caller.answer("a" * 16).status == 200
         without = b.compile(inventory=[("[exchange.f-1, exchange.f-2]", "[exchange.f-2]")])
-        b.sidecar.program.loop.timers.schedule(0, lambda: b.sidecar.take_up(without))
-        wait_until(lambda: b.sidecar.compiled is without)
+        b.sidecar.controller.loop.timers.schedule(0, lambda: b.sidecar.apply_config(without))
+        wait_until(lambda: b.sidecar.config is without)
         for n in range(3):
             stands(caller, links["f-2"], f"{n:016x}")
         uid = f"f-1@{b.exchanges['f-1'].address}"
-        assert list(b.sidecar.admission.listing.leaving) == [uid]
+        assert list(b.sidecar.admission.exchange_list.removed) == [uid]
         tell(links["f-1"], binary.RELEASE, "a" * 16, cause=16)
         assert caller.bye("a" * 16)
         assert links["f-1"].closed()  # nothing stands there any more: it is let go
@@ -378,7 +380,9 @@
     with beside(tmp_path) as (b, caller):
         links = {name: b.exchanges[name].desk() for name in b.exchanges}
         news = [EndpointEntry(n, "", "z", 0, TERMINATING, 0) for n in ("f-1", "f-2")]
-        b.sidecar.program.loop.timers.schedule(0, lambda: b.sidecar.core.update_endpoints("bus", False, news))
+        b.sidecar.controller.loop.timers.schedule(
+            0, lambda: b.sidecar.core.update_endpoints("bus", False, news)
+        )
         wait_until(lambda: b.sidecar.admission.route_table.availability("alarm@fukuoka").pools == ("k",))
         invite(caller, "a" * 16)
         set_up(links["k-1"], "a" * 16)
