--- a/arrowrail/cli/drill.py
+++ b/arrowrail/cli/drill.py
@@ -25,7 +25,7 @@
     """Play a drill; exit 0 where no rule was broken, 1 where one was."""
     import orjson
 
-    from arrowrail.lab.drills import NAMES, load
+    from arrowrail.lab.drills import DRILLS, load_drill
 
     if name == "soak":
         from arrowrail.cli.soak import SoakRequest, faults_of, seeds_of, soak
@@ -35,24 +35,24 @@
         )
         raise typer.Exit(0 if soak(asked) else 1)
     if name == "list":
-        for known, what in NAMES.items():
+        for known, what in DRILLS.items():
             typer.echo(f"{known}: {what}")
         return
     try:
-        play = load(name)
+        run_drill = load_drill(name)
     except KeyError:
-        raise typer.BadParameter(f"no drill {name!r}; there are: {', '.join(NAMES)}") from None
+        raise typer.BadParameter(f"no drill {name!r}; there are: {', '.join(DRILLS)}") from None
     with tempfile.TemporaryDirectory() as temporary:
         folder = keep if keep is not None else Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
         more = {"instances": instances} if name == "duties" else {}
-        outcome = play(seed, folder.resolve(), short, **more)
+        outcome = run_drill(seed, folder.resolve(), short, **more)
     if as_json:
         typer.echo(orjson.dumps(outcome.as_json()).decode())
     else:
-        for key, value in outcome.figures.items():
+        for key, value in outcome.metrics.items():
             typer.echo(f"{key}: {value}")
-        for broken in outcome.broken[:50]:
+        for broken in outcome.violations[:50]:
             typer.echo(f"BROKEN: {broken}")
         typer.echo(f"{name}, seed {seed}: {'passed' if outcome.passed else 'FAILED'}")
     raise typer.Exit(0 if outcome.passed else 1)
--- a/arrowrail/cli/soak.py
+++ b/arrowrail/cli/soak.py
@@ -58,7 +58,7 @@
 def _trial(request: SoakRequest, seed: int, folder: Path) -> bool:
     import orjson
 
-    from arrowrail.lab.drills.soak import play_plan
+    from arrowrail.lab.drills.soak import run_plan
     from arrowrail.lab.soak.plan import draw
     from arrowrail.lab.soak.trace import trace
 
@@ -66,13 +66,13 @@
     if request.plan_only:
         typer.echo(orjson.dumps(plan.as_json()).decode() if request.as_json else "\n".join(plan.lines()))
         return True
-    outcome = play_plan(plan, folder)
+    outcome = run_plan(plan, folder)
     if request.as_json:
         typer.echo(orjson.dumps(outcome.as_json()).decode())
     else:
-        for broken in outcome.broken[:MOST_SHOWN]:
+        for broken in outcome.violations[:MOST_SHOWN]:
             typer.echo(f"BROKEN: {broken}")
-        for key, value in outcome.figures.items():
+        for key, value in outcome.metrics.items():
             typer.echo(f"  {key}: {value}")
         typer.echo(f"soak, seed {seed}: {'passed' if outcome.passed else 'FAILED'}")
     if request.call:
--- a/arrowrail/lab/application.py
+++ b/arrowrail/lab/application.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from arrowrail.core.requests import MS
-from arrowrail.lab.commands import read_commands, run_until_told
-from arrowrail.lab.ledger import Ledger
+from arrowrail.lab.commands import read_commands, run_until_sigterm
+from arrowrail.lab.event_log import EventLog
 from arrowrail.loop import Loop
 from arrowrail.wire.sip import messages as sip
 from arrowrail.wire.stream import Stream, connect
@@ -51,28 +51,28 @@
         return self.stream is not None and self.stream.open and not self.stream.connecting
 
     def connected(self) -> None:
-        self.app.ledger.say("connected", line=self.name)
+        self.app.ledger.record("connected", line=self.name)
 
     def received(self, data: bytes) -> None:
         for m in self.parser.feed(data):
             if isinstance(m, sip.Malformed):
-                self.app.ledger.say("unreadable", line=self.name, why=m.reason)
+                self.app.ledger.record("unreadable", line=self.name, why=m.reason)
             elif m.status and m.cseq_method == "INVITE" and m.status >= 200:
                 self.app.answered(self, m)
             elif m.method == "BYE":
-                self.app.ledger.say("bye", call=m.call_id, line=self.name)
+                self.app.ledger.record("bye", call=m.call_id, line=self.name)
                 if self.stream is not None:
                     self.stream.send(sip.response(200, m))
 
     def lost(self, _why: OSError | None) -> None:
-        self.app.ledger.say("lost", line=self.name)
+        self.app.ledger.record("lost", line=self.name)
         self.stream = None
         self.app.loop.timers.schedule(self.app.loop.now + AGAIN_NS, self.open)
 
 
 class StandInApplication:
     def __init__(
-        self, loop: Loop, address: str, ledger: Ledger, seed: int, lines: int, rate: float, seconds: float,
+        self, loop: Loop, address: str, ledger: EventLog, seed: int, lines: int, rate: float, seconds: float,
         classes: dict[str, float], numbers: list[str], patience_ms: int, surge: tuple[float, float, float],
         narrow: bool = False,
     ) -> None:  # fmt: skip
@@ -106,7 +106,7 @@
         number = self.random.choice(self.numbers) + f"{self.random.randrange(1000):03d}"
         up = [line for line in self.lines if line.up]
         if not up:
-            self.ledger.say("no_line", call=call, kind=kind)
+            self.ledger.record("no_line", call=call, kind=kind)
             return
         line = up[0] if surging and self.narrow else self.random.choice(up)
         head = (
@@ -115,11 +115,11 @@
             f"Content-Length: {len(BODY)}\r\n\r\n"
         )
         assert line.stream is not None
-        self.ledger.say("sent", call=call, kind=kind, line=line.name, surging=surging)
+        self.ledger.record("sent", call=call, kind=kind, line=line.name, surging=surging)
         line.stream.send(head.encode() + BODY)
 
     def answered(self, line: Line, m: sip.SipMessage) -> None:
-        self.ledger.say("answer", call=m.call_id, status=m.status, line=line.name,
+        self.ledger.record("answer", call=m.call_id, status=m.status, line=line.name,
                         later=int(m.headers.get("x-later-ms", 0)))  # fmt: skip
         if line.stream is not None:
             line.stream.send(sip.request("ACK", f"sip:{m.call_id}@net", "app", m.call_id, 1))
@@ -141,13 +141,13 @@
     g = parser.parse_args()
     classes = {n: float(w) for n, w in (c.split("=") for c in g.classes)}
     factor, since, length = map(float, g.surge.split(":"))
-    loop, ledger = Loop(), Ledger(g.ledger)
+    loop, ledger = Loop(), EventLog(g.ledger)
     app = StandInApplication(
         loop, g.to, ledger, g.seed, g.lines, g.rate, g.seconds, classes, g.numbers, g.patience_ms,
         (factor, since, length), g.narrow,
     )  # fmt: skip
     read_commands(loop, app.command)
-    run_until_told(loop, ledger)
+    run_until_sigterm(loop, ledger)
 
 
 if __name__ == "__main__":
--- a/arrowrail/lab/bench.py
+++ b/arrowrail/lab/bench.py
@@ -22,9 +22,9 @@
 from arrowrail.config.checker import check_folder
 from arrowrail.core.engine import Core
 from arrowrail.core.requests import FinalResponse, ReleaseOutcome, Request, SetUpParams
-from arrowrail.lab.processes import ROOT, Crew, free_ports, listens, until
+from arrowrail.lab.processes import ROOT, ProcessManager, free_ports, is_listening, wait_until
 from arrowrail.lab.simgroup import movement, traffic
-from arrowrail.lab.unlimited import NoLimits
+from arrowrail.lab.unlimited import UnlimitedLimiter
 from arrowrail.sidecar.admission import SidecarAdmission
 from arrowrail.sidecar.config import build_config
 from arrowrail.sidecar.exchange_list import SIDECAR_SOURCE
@@ -118,7 +118,7 @@
     core.frontends.append(quiet)
     admission = core.admission = SidecarAdmission(c, S)
     if not limited:
-        admission.limiter = NoLimits(c.limits, S)
+        admission.limiter = UnlimitedLimiter(c.limits, S)
     core.update_endpoints(SIDECAR_SOURCE, False, admission.exchange_list.update_config(c.exchanges))
     core.process_events()
     return core, quiet
@@ -201,26 +201,52 @@
                 + (GROUP.format(app=app, port=ports[2]) if what == "group" and app == "with" else "")
                 + "}\n"
             )
-        with Crew(folder) as crew:
+        with ProcessManager(folder) as processes:
             for n in range(2):
-                crew.start(f"e{n}", "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{ports[n]}", "--ledger",
-                           str(folder / f"e{n}.jsonl"), "--circuits", "2000", "--hold-ms", "300")  # fmt: skip
-            crew.start("with", "arrowrail", "sidecar", "with", "--config", str(conf))
+                processes.start(
+                    f"e{n}",
+                    "arrowrail.lab.exchange",
+                    "--listen",
+                    f"127.0.0.1:{ports[n]}",
+                    "--ledger",
+                    str(folder / f"e{n}.jsonl"),
+                    "--circuits",
+                    "2000",
+                    "--hold-ms",
+                    "300",
+                )
+            processes.start("with", "arrowrail", "sidecar", "with", "--config", str(conf))
             if what == "group":
-                crew.start("without", "arrowrail", "sidecar", "without", "--config", str(conf))
+                processes.start("without", "arrowrail", "sidecar", "without", "--config", str(conf))
             else:
-                crew.start("without", "arrowrail.lab.unlimited", "without", str(conf))
+                processes.start("without", "arrowrail.lab.unlimited", "without", str(conf))
             for port in ports:
-                until(lambda p=port: listens(p), f"port {port}")  # type: ignore[misc]
-            before = {app: processor_s(crew.running[app].pid) for app in ("with", "without")}
+                wait_until(lambda p=port: is_listening(p), f"port {port}")  # type: ignore[misc]
+            before = {app: processor_s(processes.running[app].pid) for app in ("with", "without")}
             for n, app in enumerate(("with", "without")):
-                crew.start(f"app-{app}", "arrowrail.lab.application", "--to", f"127.0.0.1:{ports[2 + n]}",
-                           "--ledger", str(folder / f"{app}.jsonl"), "--rate", str(rate), "--seconds",
-                           str(seconds), "--class", "c=1", "--number", "0", "--lines", "8",
-                           "--seed", str(n))  # fmt: skip
+                processes.start(
+                    f"app-{app}",
+                    "arrowrail.lab.application",
+                    "--to",
+                    f"127.0.0.1:{ports[2 + n]}",
+                    "--ledger",
+                    str(folder / f"{app}.jsonl"),
+                    "--rate",
+                    str(rate),
+                    "--seconds",
+                    str(seconds),
+                    "--class",
+                    "c=1",
+                    "--number",
+                    "0",
+                    "--lines",
+                    "8",
+                    "--seed",
+                    str(n),
+                )
             time.sleep(seconds + 1.5)
-            used = {a: processor_s(crew.running[a].pid) - before[a] for a in before}
-            memory = {a: round(resident_mb(crew.running[a].pid), 1) for a in before}
+            used = {a: processor_s(processes.running[a].pid) - before[a] for a in before}
+            memory = {a: round(resident_mb(processes.running[a].pid), 1) for a in before}
         count = {a: (folder / f"{a}.jsonl").read_bytes().count(b'"status":200') for a in before}
     cost = {a: 1e6 * used[a] / max(1, count[a]) for a in before}
     return {
@@ -248,7 +274,7 @@
             env=dict(os.environ, PROXY_CONFIG=str(path), PYTHONPATH=str(root)),
         )  # fmt: skip
         try:
-            until(lambda: listens(port), "a plain controller")
+            wait_until(lambda: is_listening(port), "a plain controller")
             return round(resident_mb(child.pid), 2)
         finally:
             child.terminate()
--- a/arrowrail/lab/bus.py
+++ b/arrowrail/lab/bus.py
@@ -13,8 +13,8 @@
 import orjson
 
 from arrowrail.core.requests import MS
-from arrowrail.lab.commands import read_commands, run_until_told
-from arrowrail.lab.ledger import Ledger
+from arrowrail.lab.commands import read_commands, run_until_sigterm
+from arrowrail.lab.event_log import EventLog
 from arrowrail.loop import Loop
 from arrowrail.wire.listener import Listener
 from arrowrail.wire.stream import Stream
@@ -55,7 +55,7 @@
 
 
 class StandInBus:
-    def __init__(self, loop: Loop, address: str, ledger: Ledger, first: int = 1) -> None:
+    def __init__(self, loop: Loop, address: str, ledger: EventLog, first: int = 1) -> None:
         self.loop, self.ledger, self.first = loop, ledger, first
         self.events: list[dict[str, Any]] = []
         self.readers: list[Reader] = []
@@ -66,7 +66,7 @@
         number = len(self.events) + self.first
         event = {"offset": number, "topology": {"rev": number, "all": number == 1, "targets": targets}}
         self.events.append(event)
-        self.ledger.say("told", offset=number, targets=targets)
+        self.ledger.record("told", offset=number, targets=targets)
         for reader in list(self.readers):
             reader.tell(event)
 
@@ -82,10 +82,10 @@
     parser.add_argument("--ledger", required=True)
     parser.add_argument("--first", type=int, default=1, help="the number of the first event")
     g = parser.parse_args()
-    loop, ledger = Loop(), Ledger(g.ledger)
+    loop, ledger = Loop(), EventLog(g.ledger)
     bus = StandInBus(loop, g.listen, ledger, g.first)
     read_commands(loop, bus.publish)
-    run_until_told(loop, ledger)
+    run_until_sigterm(loop, ledger)
 
 
 if __name__ == "__main__":
--- a/arrowrail/lab/judge.py
+++ b/arrowrail/lab/checks.py
@@ -12,22 +12,22 @@
 from itertools import pairwise
 from typing import Any
 
-Line = Mapping[str, Any]
+Event = Mapping[str, Any]
 MS = 1_000_000
 SLACK = 60 * MS
-LONGEST_TRY = 3_500 * MS  # of the drills' callers
+MAX_CALL_TIME = 3_500 * MS  # of the drills' callers
 
 
 @dataclass(slots=True)
-class Verdict:
+class CheckReport:
     """What was found; ``broken`` names each breach with its call or exchange."""
 
-    broken: list[str] = field(default_factory=list)
-    figures: dict[str, Any] = field(default_factory=dict)
+    violations: list[str] = field(default_factory=list)
+    metrics: dict[str, Any] = field(default_factory=dict)
 
-    def need(self, holds: bool, what: str) -> None:
-        if not holds:
-            self.broken.append(what)
+    def expect(self, condition: bool, violation: str) -> None:
+        if not condition:
+            self.violations.append(violation)
 
 
 @dataclass(slots=True)
@@ -38,15 +38,15 @@
     how: str = ""
 
 
-def one_answer(
-    verdict: Verdict, name: str, lines: Iterable[Line], nobody_from: int = 0
-) -> dict[str, list[Line]]:
+def check_single_answer(
+    report: CheckReport, name: str, lines: Iterable[Event], nobody_from: int = 0
+) -> dict[str, list[Event]]:
     """Each call gets exactly one final answer; none is owed on a connection that was lost.
 
     ``nobody_from``: when the application itself died, so that nobody heard what was answered after it.
     """
-    sent: dict[str, Line] = {}
-    answers: dict[str, list[Line]] = defaultdict(list)
+    sent: dict[str, Event] = {}
+    answers: dict[str, list[Event]] = defaultdict(list)
     lost: set[str] = set()
     for line in lines:
         if line["what"] == "sent":
@@ -56,19 +56,21 @@
         elif line["what"] == "lost":
             lost.add(line["line"])
         elif line["what"] == "unreadable":
-            verdict.broken.append(f"{name}: an unreadable answer: {line['why']}")
+            report.violations.append(f"{name}: an unreadable answer: {line['why']}")
     for call, line in sent.items():
         count = len(answers[call])
-        verdict.need(count <= 1, f"{name}: call {call} got {count} answers")
-        unheard = nobody_from and line["t"] > nobody_from - LONGEST_TRY
+        report.expect(count <= 1, f"{name}: call {call} got {count} answers")
+        unheard = nobody_from and line["t"] > nobody_from - MAX_CALL_TIME
         if count == 0 and line["line"] not in lost and not unheard:
-            verdict.broken.append(f"{name}: call {call} got no answer")
+            report.violations.append(f"{name}: call {call} got no answer")
     for call in answers:
-        verdict.need(call in sent or not answers[call], f"{name}: an answer for {call}, which was never sent")
+        report.expect(
+            call in sent or not answers[call], f"{name}: an answer for {call}, which was never sent"
+        )
     return {call: answers[call] for call in sent}
 
 
-def attempts(ledgers: Mapping[str, Iterable[Line]]) -> dict[str, list[Attempt]]:
+def collect_attempts(ledgers: Mapping[str, Iterable[Event]]) -> dict[str, list[Attempt]]:
     """By call, every set-up that reached an exchange, in the order of time."""
     found: dict[str, list[Attempt]] = defaultdict(list)
     for exchange, lines in ledgers.items():
@@ -87,8 +89,12 @@
     return found
 
 
-def attempt_rules(
-    verdict: Verdict, by_call: Mapping[str, list[Attempt]], most: int, pause_ns: int, excused: Iterable[str]
+def check_attempts(
+    report: CheckReport,
+    by_call: Mapping[str, list[Attempt]],
+    most: int,
+    pause_ns: int,
+    excused: Iterable[str],
 ) -> None:
     """At most so many attempts, never two at once, and the pause after one that was given up or cut.
 
@@ -96,31 +102,32 @@
     """
     passed_over = set(excused)
     for call, made in by_call.items():
-        verdict.need(len(made) <= most, f"call {call} had {len(made)} attempts")
+        report.expect(len(made) <= most, f"call {call} had {len(made)} attempts")
         if call in passed_over:
             continue
         for before, after in pairwise(made):
             if not before.ended or before.ended > after.began + SLACK:
-                verdict.broken.append(f"call {call}: two attempts at once, at {before.exchange} and "
+                report.violations.append(f"call {call}: two attempts at once, at {before.exchange} and "
                                       f"{after.exchange}")  # fmt: skip
             elif before.how in ("released", "dropped") and after.began - before.ended < pause_ns - SLACK:
-                verdict.broken.append(f"call {call}: only {(after.began - before.ended) // MS} ms after a "
+                report.violations.append(f"call {call}: only {(after.began - before.ended) // MS} ms after a "
                                       "set-up that was given up")  # fmt: skip
 
 
-def nothing_new(
-    verdict: Verdict, exchange: str, lines: Iterable[Line], told: int, grace_ns: int, until: int = 0
+def check_no_new_calls(
+    report: CheckReport, exchange: str, lines: Iterable[Event], told: int, grace_ns: int, until: int = 0
 ) -> None:
     """After the grace that follows a drain, nothing new reaches the exchange (until it is back)."""
     for line in lines:
         late = line["t"] > told + grace_ns + SLACK and (not until or line["t"] < until)
         if line["what"] == "set_up" and late:
-            verdict.broken.append(f"{exchange}: call {line['call']} came {(line['t'] - told) // MS} ms after "
-                                  "the drain was told")  # fmt: skip
+            report.violations.append(
+                f"{exchange}: call {line['call']} came {(line['t'] - told) // MS} ms after the drain was told"
+            )
 
 
-def stood_share(
-    calls: Mapping[str, list[Line]], lines: Iterable[Line], since: int, until: int
+def established_share(
+    calls: Mapping[str, list[Event]], lines: Iterable[Event], since: int, until: int
 ) -> tuple[float, int]:
     """Of the calls sent in a span of time, the share that stood, and how many they were."""
     sent = [line["call"] for line in lines if line["what"] == "sent" and since <= line["t"] < until]
@@ -128,8 +135,15 @@
     return (stood / len(sent) if sent else 1.0), len(sent)
 
 
-def released(verdict: Verdict, name: str, ledgers: Mapping[str, Iterable[Line]], apps: Iterable[Line],
-             calls: Mapping[str, list[Line]], within_ns: int, end: int) -> None:  # fmt: skip
+def check_release_notified(
+    report: CheckReport,
+    name: str,
+    ledgers: Mapping[str, Iterable[Event]],
+    apps: Iterable[Event],
+    calls: Mapping[str, list[Event]],
+    within_ns: int,
+    end: int,
+) -> None:
     """What stood and is over is told to its caller."""
     byes = {line["call"] for line in apps if line["what"] == "bye"}
     for lines in ledgers.values():
@@ -137,4 +151,4 @@
             call = line.get("call", "")
             stood = any(a["status"] == 200 for a in calls.get(call, ()))
             if line["what"] == "over" and stood and call not in byes and line["t"] + within_ns < end:
-                verdict.broken.append(f"{name}: call {call} was over and its caller never told")
+                report.violations.append(f"{name}: call {call} was over and its caller never told")
--- a/arrowrail/lab/commands.py
+++ b/arrowrail/lab/commands.py
@@ -12,7 +12,7 @@
 import orjson
 
 from arrowrail.core.requests import MS
-from arrowrail.lab.ledger import Ledger
+from arrowrail.lab.event_log import EventLog
 from arrowrail.loop import READ, Loop
 
 CHUNK = 64 * 1024
@@ -37,7 +37,7 @@
     loop.watch(sys.stdin, READ, ready)
 
 
-def run_until_told(loop: Loop, ledger: Ledger) -> None:
+def run_until_sigterm(loop: Loop, ledger: EventLog) -> None:
     """Turn the loop until SIGTERM; the ledger is written after each turn.
 
     A turn that comes late, since the machine is busy, stands in the ledger as ``late`` with its delay: a
@@ -52,5 +52,5 @@
         loop.run_once()
         delay = time.monotonic_ns() - due
         if delay > LATE_NS:
-            ledger.say("late", ms=delay // MS)
+            ledger.record("late", ms=delay // MS)
         ledger.flush()
--- a/arrowrail/lab/drills/__init__.py
+++ b/arrowrail/lab/drills/__init__.py
@@ -7,7 +7,7 @@
 from importlib import import_module
 from typing import Any
 
-NAMES = {
+DRILLS = {
     "sidecar": "three sidecars, their applications and exchanges: surge, drain, reload, kills",
     "soak": "short, dense fault trials of controllers, one a seed, judged by all rules",
     "duties": "instances that share the probing of exchanges: kill, hang, split, a key rolled",
@@ -15,31 +15,31 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class DrillResult:
     """A drill's result; it has passed where nothing is broken."""
 
     name: str
     seed: int
-    broken: list[str]
-    figures: dict[str, Any] = field(default_factory=dict)
+    violations: list[str]
+    metrics: dict[str, Any] = field(default_factory=dict)
 
     @property
     def passed(self) -> bool:
-        return not self.broken
+        return not self.violations
 
     def as_json(self) -> dict[str, Any]:
         return {
-            "drill": self.name, "seed": self.seed, "passed": self.passed, "broken": self.broken[:50],
-            "breaches": len(self.broken), "figures": self.figures,
+            "drill": self.name, "seed": self.seed, "passed": self.passed, "broken": self.violations[:50],
+            "breaches": len(self.violations), "figures": self.metrics,
         }  # fmt: skip
 
 
-Play = Callable[..., Outcome]
+DrillFunction = Callable[..., DrillResult]
 
 
-def load(name: str) -> Play:
+def load_drill(name: str) -> DrillFunction:
     """``KeyError`` for a name that is none."""
-    if name not in NAMES:
+    if name not in DRILLS:
         raise KeyError(name)
-    play: Play = import_module(f"arrowrail.lab.drills.{name}").play
-    return play
+    run_drill: DrillFunction = import_module(f"arrowrail.lab.drills.{name}").run_drill
+    return run_drill
--- a/arrowrail/lab/drills/duties.py
+++ b/arrowrail/lab/drills/duties.py
@@ -18,10 +18,10 @@
 
 import orjson
 
-from arrowrail.lab.drills import Outcome
-from arrowrail.lab.judge import MS, Verdict
-from arrowrail.lab.ledger import read
-from arrowrail.lab.processes import Crew, free_ports, listens, until
+from arrowrail.lab.checks import MS, CheckReport
+from arrowrail.lab.drills import DrillResult
+from arrowrail.lab.event_log import read_events
+from arrowrail.lab.processes import ProcessManager, free_ports, is_listening, wait_until
 
 S = 1_000 * MS
 PERIOD = 2 * S
@@ -45,7 +45,7 @@
         self.sip = dict(zip(self.names, rest, strict=False))
         self.udp = dict(zip(self.names, rest[instances:], strict=False))
         self.front = dict(zip(self.names, rest[2 * instances :], strict=False))  # the relay's, one each
-        self.crew = Crew(folder)
+        self.processes = ProcessManager(folder)
         self.breaks: list[tuple[str, int]] = []  # what befell whom, and when it began
         self.told: dict[str, int] = {}
 
@@ -62,13 +62,19 @@
             (self.folder / f"memory-{name}").mkdir()
             (conf / f"{name}.rail").write_text(self._application(name, 1))
         for e in self.exchanges:
-            self.crew.start(e, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{self.exchange_port[e]}",
-                            "--ledger", str(self.folder / f"{e}.jsonl"))  # fmt: skip
+            self.processes.start(
+                e,
+                "arrowrail.lab.exchange",
+                "--listen",
+                f"127.0.0.1:{self.exchange_port[e]}",
+                "--ledger",
+                str(self.folder / f"{e}.jsonl"),
+            )
         routes = [f"{n}={self.front[n]}={self.udp[n]}" for n in self.names]
-        self.crew.start("relay", "arrowrail.lab.relay", "--seed", str(self.random.randrange(1 << 30)),
+        self.processes.start("relay", "arrowrail.lab.relay", "--seed", str(self.random.randrange(1 << 30)),
                         "--loss", "0.02", *routes)  # fmt: skip
         for e in self.exchanges:
-            until(lambda e=e: listens(self.exchange_port[e]), e)  # type: ignore[misc]
+            wait_until(lambda e=e: is_listening(self.exchange_port[e]), e)  # type: ignore[misc]
         for name in self.names:
             self.start(name)
 
@@ -100,11 +106,11 @@
 """
 
     def start(self, name: str) -> None:
-        self.crew.start(name, "arrowrail", "sidecar", name, "--config", str(self.folder / "conf"))
-        until(lambda: listens(self.sip[name]), name)
+        self.processes.start(name, "arrowrail", "sidecar", name, "--config", str(self.folder / "conf"))
+        wait_until(lambda: is_listening(self.sip[name]), name)
 
     def relay(self, **what: Any) -> None:
-        self.crew.tell("relay", orjson.dumps(what))
+        self.processes.send_line("relay", orjson.dumps(what))
 
     def hold(self, seconds: float) -> None:
         time.sleep(seconds)
@@ -117,13 +123,13 @@
         self.random.shuffle(names)
         killed, hung, cut = names[0], names[1], names[2 % len(names)]
         self.breaks.append((f"kill {killed}", time.time_ns()))
-        self.crew.kill(killed)
+        self.processes.kill(killed)
         self.hold(BOUND / S)
         self.start(killed)
         self.breaks.append((f"hang {hung}", time.time_ns()))
-        self.crew.send(hung, signal.SIGSTOP)
+        self.processes.send_signal(hung, signal.SIGSTOP)
         self.hold(10.0)
-        self.crew.send(hung, signal.SIGCONT)
+        self.processes.send_signal(hung, signal.SIGCONT)
         self.hold(4.0)
         # A key is rolled in service meanwhile: some send under the new one, some under the old.
         for name in names[: len(names) // 2 + 1]:
@@ -131,7 +137,7 @@
             temporary = path.with_suffix(".new")
             temporary.write_text(self._application(name, 2))
             temporary.replace(path)
-            self.crew.send(name, signal.SIGHUP)
+            self.processes.send_signal(name, signal.SIGHUP)
         both = self.random.random() < 0.5
         self.breaks.append((f"{'split' if both else 'one-way split'} {cut}", time.time_ns()))
         self.relay(cut=[cut], both=both)
@@ -142,34 +148,34 @@
         self.told["end"] = time.time_ns()
 
 
-def play(seed: int, folder: Path, short: bool = False, instances: int = 5) -> Outcome:
+def run_drill(seed: int, folder: Path, short: bool = False, instances: int = 5) -> DrillResult:
     """Some 90 s; the short form is played by three instances."""
     stage = Stage(3 if short else instances, seed, folder)
-    verdict = Verdict()
-    with stage.crew:
+    report = CheckReport()
+    with stage.processes:
         stage.set_up()
         stage.play()
-        verdict.broken += stage.crew.died()
+        report.violations += stage.processes.unexpected_exits()
         for name in stage.names:
-            code = stage.crew.end(name)
-            verdict.need(code == 0, f"{name} ended with {code}")
-    _judge(stage, verdict)
-    return Outcome("duties", seed, verdict.broken, verdict.figures)
+            code = stage.processes.terminate(name)
+            report.expect(code == 0, f"{name} ended with {code}")
+    _judge(stage, report)
+    return DrillResult("duties", seed, report.violations, report.metrics)
 
 
-def _judge(stage: Stage, verdict: Verdict) -> None:
+def _judge(stage: Stage, report: CheckReport) -> None:
     gaps_steady: list[int] = []
     longest = 0
     total = 0
     for exchange in stage.exchanges:
-        probes = [line for line in read(stage.folder / f"{exchange}.jsonl") if line["what"] == "probe"]
+        probes = [line for line in read_events(stage.folder / f"{exchange}.jsonl") if line["what"] == "probe"]
         total += len(probes)
-        _one_exchange(stage, verdict, exchange, probes, gaps_steady)
+        _one_exchange(stage, report, exchange, probes, gaps_steady)
         times = [p["t"] for p in probes if p["t"] > stage.told["steady"]]
         edges = [stage.told["steady"], *times, stage.told["end"]]
         longest = max([longest, *(b - a for a, b in pairwise(edges))])
-    verdict.need(longest <= BOUND, f"an exchange went unprobed for {longest / S:.1f} s")
-    verdict.figures |= {
+    report.expect(longest <= BOUND, f"an exchange went unprobed for {longest / S:.1f} s")
+    report.metrics |= {
         "probes": total, "longest without a probe, s": round(longest / S, 1), "bound, s": BOUND / S,
         "steady gap, longest s": round(max(gaps_steady, default=0) / S, 2),
         "what befell": [what for what, _ in stage.breaks],
@@ -177,22 +183,24 @@
 
 
 def _one_exchange(
-    stage: Stage, verdict: Verdict, exchange: str, probes: Iterable[dict[str, Any]], steady: list[int]
+    stage: Stage, report: CheckReport, exchange: str, probes: Iterable[dict[str, Any]], steady: list[int]
 ) -> None:
     before: dict[str, Any] | None = None
     by_epoch: dict[int, str] = {}
     first_break = stage.breaks[0][1]
     for probe in probes:
         holder = by_epoch.setdefault(probe["epoch"], probe["by"])
-        verdict.need(holder == probe["by"], f"{exchange}: epoch {probe['epoch']} used by two")
-        verdict.need(probe["fresh"], f"{exchange}: a probe under the old epoch {probe['epoch']}")
+        report.expect(holder == probe["by"], f"{exchange}: epoch {probe['epoch']} used by two")
+        report.expect(probe["fresh"], f"{exchange}: a probe under the old epoch {probe['epoch']}")
         if before is not None:
             gap = probe["t"] - before["t"]
-            verdict.need(gap >= CLOSEST, f"{exchange}: probed twice within {gap // MS} ms, by {before['by']} "
-                                         f"and {probe['by']}")  # fmt: skip
+            report.expect(
+                gap >= CLOSEST,
+                f"{exchange}: probed twice within {gap // MS} ms, by {before['by']} and {probe['by']}",
+            )
             if stage.told["steady"] < before["t"] and probe["t"] < first_break:
                 steady.append(gap)
-                verdict.need(
+                report.expect(
                     gap <= PERIOD * 3 // 2, f"{exchange}: {gap // MS} ms between probes in a calm time"
                 )
         before = probe
--- a/arrowrail/lab/drills/sidecar.py
+++ b/arrowrail/lab/drills/sidecar.py
@@ -16,11 +16,11 @@
 
 import orjson
 
-from arrowrail.lab import judge
-from arrowrail.lab.drills import Outcome
-from arrowrail.lab.judge import MS, Verdict
-from arrowrail.lab.ledger import read
-from arrowrail.lab.processes import Crew, free_ports, listens, until
+from arrowrail.lab import checks
+from arrowrail.lab.checks import MS, CheckReport
+from arrowrail.lab.drills import DrillResult
+from arrowrail.lab.event_log import read_events
+from arrowrail.lab.processes import ProcessManager, free_ports, is_listening, wait_until
 
 S = 1_000 * MS
 APPS = ("lifts", "panels", "engineers")
@@ -97,7 +97,7 @@
         self.folder, self.short = folder, short
         names = [*EXCHANGES, *APPS, "bus"]
         self.ports = dict(zip(names, free_ports(len(names)), strict=True))
-        self.crew = Crew(folder)
+        self.processes = ProcessManager(folder)
         self.told: dict[str, int] = {}
         self.seconds = 9.0 if short else 16.0
 
@@ -105,7 +105,7 @@
         return self.folder / f"{name}.jsonl"
 
     def lines(self, name: str) -> list[dict[str, Any]]:
-        return list(read(self.ledger(name)))
+        return list(read_events(self.ledger(name)))
 
     def write(self, name: str, text: str) -> None:
         """As the tool does it: a whole file takes the place of the old one."""
@@ -114,8 +114,10 @@
         temporary.replace(self.folder / "conf" / name)
 
     def start_sidecar(self, app: str) -> None:
-        self.crew.start(f"sidecar-{app}", "arrowrail", "sidecar", app, "--config", str(self.folder / "conf"))
-        until(lambda: listens(self.ports[app]), f"sidecar {app}")
+        self.processes.start(
+            f"sidecar-{app}", "arrowrail", "sidecar", app, "--config", str(self.folder / "conf")
+        )
+        wait_until(lambda: is_listening(self.ports[app]), f"sidecar {app}")
 
     def start_app(self, app: str, name: str, seconds: float, surge: str, narrow: bool) -> None:
         arguments = ["--to", f"127.0.0.1:{self.ports[app]}", "--ledger", str(self.ledger(name)),
@@ -125,7 +127,7 @@
             arguments += ["--class", f"{kind}={weight}"]
         for prefix in ("092", "096"):
             arguments += ["--number", prefix]
-        self.crew.start(name, "arrowrail.lab.application", *arguments, *(["--narrow"] if narrow else []))
+        self.processes.start(name, "arrowrail.lab.application", *arguments, *(["--narrow"] if narrow else []))
 
     def set_up(self) -> None:
         (self.folder / "conf").mkdir()
@@ -136,20 +138,20 @@
         cut_at = self.random.uniform(4.0, 6.0)
         for name in EXCHANGES:
             fault = ["--fault", f"cut:{cut_at:.2f}:1"] if name == cut else []
-            self.crew.start(name, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{self.ports[name]}",
+            self.processes.start(name, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{self.ports[name]}",
                             "--ledger", str(self.ledger(name)), "--circuits", "200",
                             "--seed", str(self.random.randrange(1 << 30)), *fault)  # fmt: skip
-        self.crew.start("bus", "arrowrail.lab.bus", "--listen", f"127.0.0.1:{self.ports['bus']}",
+        self.processes.start("bus", "arrowrail.lab.bus", "--listen", f"127.0.0.1:{self.ports['bus']}",
                         "--ledger", str(self.ledger("bus")))  # fmt: skip
         for name in (*EXCHANGES, "bus"):
-            until(lambda n=name: listens(self.ports[n]), name)  # type: ignore[misc]
-        self.crew.tell("bus", orjson.dumps(_targets(self.ports, {})))
+            wait_until(lambda n=name: is_listening(self.ports[n]), name)  # type: ignore[misc]
+        self.processes.send_line("bus", orjson.dumps(_targets(self.ports, {})))
         for app in APPS:
             self.start_sidecar(app)
 
     def reload(self) -> None:
         for app in APPS:
-            self.crew.send(f"sidecar-{app}", signal.SIGHUP)
+            self.processes.send_signal(f"sidecar-{app}", signal.SIGHUP)
 
     def play(self) -> None:
         began = time.monotonic()
@@ -166,7 +168,7 @@
         at(surge_from + self.random.uniform(0.2, 0.6))
         drained = self.random.choice(POOLS["fukuoka"])
         self.told["drain"], self.drained = time.time_ns(), drained
-        self.crew.tell("bus", orjson.dumps(_targets(self.ports, {drained: "terminating"})))
+        self.processes.send_line("bus", orjson.dumps(_targets(self.ports, {drained: "terminating"})))
         at(surge_from + 0.8)
         # A file found half written: the reload must leave everything as it is.
         broken = _inventory(self.ports, POOLS)
@@ -183,85 +185,85 @@
         self.told["surge over"] = time.time_ns()
         at(surge_from + surge_s + 0.6)
         self.told["kill"] = time.time_ns()
-        self.crew.kill("sidecar-lifts")
-        self.crew.kill("app-panels")
+        self.processes.kill("sidecar-lifts")
+        self.processes.kill("app-panels")
         self.told["app killed"] = time.time_ns()
         time.sleep(self.random.uniform(0.1, 0.5))
         self.start_sidecar("lifts")
         self.told["back"] = time.time_ns()
         at(max(self.seconds, time.monotonic() - began + AFTER_BACK_S))
         for app in (APPS[0], APPS[2]):
-            self.crew.tell(f"app-{app}", orjson.dumps({"do": "stop"}))
+            self.processes.send_line(f"app-{app}", orjson.dumps({"do": "stop"}))
         time.sleep(4.5)  # the last calls have their answers, and the last that stand are over
         self.told["end"] = time.time_ns()
 
     def stop(self) -> dict[str, int]:
-        codes = {app: self.crew.end(f"sidecar-{app}") for app in APPS}
-        for name in list(self.crew.running):
-            self.crew.end(name)
+        codes = {app: self.processes.terminate(f"sidecar-{app}") for app in APPS}
+        for name in list(self.processes.running):
+            self.processes.terminate(name)
         return codes
 
 
-def play(seed: int, folder: Path, short: bool = False) -> Outcome:
+def run_drill(seed: int, folder: Path, short: bool = False) -> DrillResult:
     """Play it in an empty folder; some 15 s, or 25 s in its long form."""
     stage = Stage(seed, folder, short)
-    verdict = Verdict()
-    with stage.crew:
+    report = CheckReport()
+    with stage.processes:
         stage.set_up()
         stage.play()
-        verdict.broken += stage.crew.died()
+        report.violations += stage.processes.unexpected_exits()
         codes = stage.stop()
     for app, code in codes.items():
-        verdict.need(code == 0, f"sidecar {app} ended with {code}")
-    _judge(stage, verdict)
-    return Outcome("sidecar", seed, verdict.broken, verdict.figures)
+        report.expect(code == 0, f"sidecar {app} ended with {code}")
+    _judge(stage, report)
+    return DrillResult("sidecar", seed, report.violations, report.metrics)
 
 
-def _judge(stage: Stage, verdict: Verdict) -> None:
+def _judge(stage: Stage, report: CheckReport) -> None:
     exchanges = {name: stage.lines(name) for name in EXCHANGES}
     told = stage.told
-    by_call = judge.attempts(exchanges)
+    by_call = checks.collect_attempts(exchanges)
     excused: set[str] = set()
     for app in APPS:
         lines = stage.lines(f"app-{app}")
         if app == "panels":  # the application died: what it had sent last has nobody to hear the answer
             excused |= {line["call"] for line in lines if line["what"] == "sent"
-                        and line["t"] > told["app killed"] - judge.LONGEST_TRY}  # fmt: skip
+                        and line["t"] > told["app killed"] - checks.MAX_CALL_TIME}  # fmt: skip
         if app == "lifts":
             excused |= {line["call"] for line in lines if line["what"] == "sent"
                         and told["kill"] - 4 * S < line["t"] < told["back"]}  # fmt: skip
-        calls = judge.one_answer(verdict, app, lines, told["app killed"] if app == "panels" else 0)
-        share, count = judge.stood_share(calls, lines, told["surge"], told["surge over"])
-        verdict.figures[f"{app}: share that stood in the surge"] = round(share, 4)
-        verdict.figures[f"{app}: calls in the surge"] = count
+        calls = checks.check_single_answer(report, app, lines, told["app killed"] if app == "panels" else 0)
+        share, count = checks.established_share(calls, lines, told["surge"], told["surge over"])
+        report.metrics[f"{app}: share that stood in the surge"] = round(share, 4)
+        report.metrics[f"{app}: calls in the surge"] = count
         if app != APPS[2]:
-            verdict.need(share >= ORDINARY_SHARE, f"{app}: {share:.4f} of {count} calls stood in the surge")
-            later, after = judge.stood_share(calls, lines, told["back"] + S, told["end"])
-            verdict.figures[f"{app}: share that stood after the kills"] = round(later, 4)
+            report.expect(share >= ORDINARY_SHARE, f"{app}: {share:.4f} of {count} calls stood in the surge")
+            later, after = checks.established_share(calls, lines, told["back"] + S, told["end"])
+            report.metrics[f"{app}: share that stood after the kills"] = round(later, 4)
             if app == "lifts":
-                verdict.need(
+                report.expect(
                     after > 0 and later >= ORDINARY_SHARE, f"{app}: {later:.4f} of {after} stood later"
                 )
         else:
             refused = [a for found in calls.values() for a in found if a["status"] == 503]
-            verdict.figures["engineers: refused"] = len(refused)
-            verdict.need(bool(refused), "the surge met no limit")
-            verdict.need(all(a["later"] > 0 for a in refused), "a refusal without X-Later-Ms")
-            _at_once(verdict, lines)
-            _within_limit(verdict, stage, lines, exchanges)
+            report.metrics["engineers: refused"] = len(refused)
+            report.expect(bool(refused), "the surge met no limit")
+            report.expect(all(a["later"] > 0 for a in refused), "a refusal without X-Later-Ms")
+            _at_once(report, lines)
+            _within_limit(report, stage, lines, exchanges)
         if app != "panels":
-            judge.released(verdict, app, exchanges, lines, calls, 8 * S, told["end"])
-    judge.attempt_rules(verdict, by_call, MOST_ATTEMPTS, PAUSE, excused)
-    judge.nothing_new(verdict, stage.drained, exchanges[stage.drained], told["drain"], DRAIN_GRACE)
-    judge.nothing_new(verdict, stage.taken_out, exchanges[stage.taken_out], told["taken out"],
+            checks.check_release_notified(report, app, exchanges, lines, calls, 8 * S, told["end"])
+    checks.check_attempts(report, by_call, MOST_ATTEMPTS, PAUSE, excused)
+    checks.check_no_new_calls(report, stage.drained, exchanges[stage.drained], told["drain"], DRAIN_GRACE)
+    checks.check_no_new_calls(report, stage.taken_out, exchanges[stage.taken_out], told["taken out"],
                       RELOAD_BOUND + DRAIN_GRACE)  # fmt: skip
-    verdict.figures["set-ups"] = sum(len(a) for a in by_call.values())
-    verdict.figures["calls tried again"] = sum(1 for a in by_call.values() if len(a) > 1)
-    _orphans(verdict, stage, exchanges)
+    report.metrics["set-ups"] = sum(len(a) for a in by_call.values())
+    report.metrics["calls tried again"] = sum(1 for a in by_call.values() if len(a) > 1)
+    _orphans(report, stage, exchanges)
 
 
 def _within_limit(
-    verdict: Verdict, stage: Stage, lines: list[dict[str, Any]], exchanges: dict[str, list[dict[str, Any]]]
+    report: CheckReport, stage: Stage, lines: list[dict[str, Any]], exchanges: dict[str, list[dict[str, Any]]]
 ) -> None:
     """Of the surge, exchanges saw no more than the rate, and what own and lent buckets held before it."""
     since, until_ = stage.told["surge"], stage.told["surge over"]
@@ -269,21 +271,21 @@
     seen = {line["call"] for found in exchanges.values() for line in found if line["what"] == "set_up"}
     count = len(seen & sent)
     most = LIMIT_RATE * (until_ - since) / S + 2 * LIMIT_RATE + 5
-    verdict.figures["engineers: calls of the surge that exchanges saw"] = count
-    verdict.need(count <= most, f"{count} calls of the surge passed the limit of {most:.0f}")
+    report.metrics["engineers: calls of the surge that exchanges saw"] = count
+    report.expect(count <= most, f"{count} calls of the surge passed the limit of {most:.0f}")
 
 
-def _at_once(verdict: Verdict, lines: list[dict[str, Any]]) -> None:
+def _at_once(report: CheckReport, lines: list[dict[str, Any]]) -> None:
     """What is over the limit is refused at once: half of the refusals within 100 ms, as a bound for haste."""
     sent = {line["call"]: line["t"] for line in lines if line["what"] == "sent"}
     refused = [a for a in lines if a["what"] == "answer" and a["status"] == 503 and a["call"] in sent]
     waits = sorted(a["t"] - sent[a["call"]] for a in refused)
     if waits:
-        verdict.figures["refused after, median ms"] = round(waits[len(waits) // 2] / MS, 1)
-        verdict.need(waits[len(waits) // 2] < 100 * MS, "refusals are held back")
+        report.metrics["refused after, median ms"] = round(waits[len(waits) // 2] / MS, 1)
+        report.expect(waits[len(waits) // 2] < 100 * MS, "refusals are held back")
 
 
-def _orphans(verdict: Verdict, stage: Stage, exchanges: dict[str, list[dict[str, Any]]]) -> None:
+def _orphans(report: CheckReport, stage: Stage, exchanges: dict[str, list[dict[str, Any]]]) -> None:
     """Calls of the application that died are released, or over by themselves, soon after."""
     mine = {line["call"] for line in stage.lines("app-panels") if line["what"] == "sent"}
     limit = stage.told["app killed"] + (ORPHANS_S + 2) * S
@@ -295,4 +297,4 @@
             elif line["what"] in ("released", "over"):
                 stand.pop(line["call"], None)
         if limit < stage.told["end"]:
-            verdict.need(not stand, f"{name}: {len(stand)} calls of a dead application still stand")
+            report.expect(not stand, f"{name}: {len(stand)} calls of a dead application still stand")
--- a/arrowrail/lab/drills/soak.py
+++ b/arrowrail/lab/drills/soak.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from arrowrail.lab.drills import Outcome
+from arrowrail.lab.drills import DrillResult
 from arrowrail.lab.soak.checks import Breach, judge, undisturbed
 from arrowrail.lab.soak.history import MS, History, load
 from arrowrail.lab.soak.plan import SECONDS, Plan, draw
@@ -16,18 +16,18 @@
 LATE_MS = 250  # a stand-in that was late for longer makes limits of time unsafe to judge
 
 
-def play(seed: int, folder: Path, short: bool) -> Outcome:
+def run_drill(seed: int, folder: Path, short: bool) -> DrillResult:
     """One trial as the command line of all drills asks for it."""
-    return play_plan(draw(seed, SHORT_SECONDS if short else SECONDS), folder)
+    return run_plan(draw(seed, SHORT_SECONDS if short else SECONDS), folder)
 
 
-def play_plan(plan: Plan, folder: Path, program: tuple[str, ...] = PROGRAM) -> Outcome:
+def run_plan(plan: Plan, folder: Path, program: tuple[str, ...] = PROGRAM) -> DrillResult:
     """Play a plan and judge it; ``program`` is the module that is started as the controller."""
     Player(plan, folder, program).play()
     history = load(plan, folder)
     breaches = judge(history)
     broken = [_line(history, breach) for breach in breaches]
-    return Outcome("soak", plan.seed, broken, _figures(history, breaches))
+    return DrillResult("soak", plan.seed, broken, _figures(history, breaches))
 
 
 def _line(history: History, breach: Breach) -> str:
--- a/arrowrail/lab/ledger.py
+++ b/arrowrail/lab/event_log.py
@@ -10,15 +10,15 @@
 import orjson
 
 
-class Ledger:
+class EventLog:
     """Lines are kept until ``flush``; a process that is killed loses those of its last turn at most."""
 
     def __init__(self, path: Path | str) -> None:
         self._file = open(path, "ab", buffering=0)  # noqa: SIM115 - held for the process's life
         self._lines: list[bytes] = []
 
-    def say(self, what: str, **facts: Any) -> None:
-        self._lines.append(orjson.dumps({"t": time.time_ns(), "what": what, **facts}))
+    def record(self, event_name: str, **fields: Any) -> None:
+        self._lines.append(orjson.dumps({"t": time.time_ns(), "what": event_name, **fields}))
 
     def flush(self) -> None:
         if self._lines:
@@ -26,7 +26,7 @@
             self._lines = []
 
 
-def read(path: Path) -> Iterator[dict[str, Any]]:
+def read_events(path: Path) -> Iterator[dict[str, Any]]:
     """The lines of a ledger; a last one that was cut off by a kill is left out."""
     if not path.exists():
         return
--- a/arrowrail/lab/exchange.py
+++ b/arrowrail/lab/exchange.py
@@ -17,8 +17,8 @@
 from typing import Any
 
 from arrowrail.core.requests import MS
-from arrowrail.lab.commands import read_commands, run_until_told
-from arrowrail.lab.ledger import Ledger
+from arrowrail.lab.commands import read_commands, run_until_sigterm
+from arrowrail.lab.event_log import EventLog
 from arrowrail.loop import Loop
 from arrowrail.state.timers import Timer
 from arrowrail.wire.binary import messages as binary
@@ -85,7 +85,7 @@
 
 class StandInExchange:
     def __init__(
-        self, loop: Loop, address: str, ledger: Ledger, circuits: int = 100, seed: int = 1,
+        self, loop: Loop, address: str, ledger: EventLog, circuits: int = 100, seed: int = 1,
         set_up_ms: float = 40.0, hold_ms: float = 1500.0, faults: tuple[Fault, ...] = (),
         class_holds: dict[str, float] | None = None, name: str = "desk",
     ) -> None:  # fmt: skip
@@ -103,7 +103,7 @@
         for fault in faults:
             if fault.what == "cut":
                 loop.timers.schedule(self.started + fault.since, self._cut)
-        ledger.say("started", port=self.listener.port)
+        ledger.record("started", port=self.listener.port)
 
     def _under(self, what: str) -> bool:
         since = self.loop.now - self.started
@@ -113,7 +113,7 @@
         """Begin a fault now, for some seconds."""
         since = self.loop.now - self.started
         fault = Fault(asked["fault"], since, since + int(asked.get("seconds", 0.0) * S))
-        self.ledger.say("fault", **asked)
+        self.ledger.record("fault", **asked)
         if fault.what == "cut":
             self._cut()
         else:
@@ -128,7 +128,7 @@
             self._set_up(peer, m)
         elif m.message_type == binary.RELEASE:
             held = self.calls.get(m.call_id)
-            self.ledger.say("released", call=f"{m.call_id:016x}", stood=held is not None and held.stands,
+            self.ledger.record("released", call=f"{m.call_id:016x}", stood=held is not None and held.stands,
                             known=held is not None)  # fmt: skip
             self._free(m.call_id)
             peer.say(BinaryMessage(binary.RELEASE_ACK, m.call_id))
@@ -141,20 +141,20 @@
         newest = self.fences.get(duty, 0)
         fresh = int(epoch) >= newest
         self.fences[duty] = max(newest, int(epoch))
-        self.ledger.say("probe", duty=duty, epoch=int(epoch), run=int(run), by=holder, fresh=fresh)
+        self.ledger.record("probe", duty=duty, epoch=int(epoch), run=int(run), by=holder, fresh=fresh)
         if not self._under("silent"):
             peer.say(BinaryMessage(binary.PROBE_RESULT, m.call_id, cause=int(fresh)))
 
     def _set_up(self, peer: Peer, m: BinaryMessage) -> None:
         call = f"{m.call_id:016x}"
-        self.ledger.say("set_up", call=call, kind=m.class_name, wait_ms=m.timeout_ms, number=m.number,
+        self.ledger.record("set_up", call=call, kind=m.class_name, wait_ms=m.timeout_ms, number=m.number,
                         again=m.call_id in self.calls)  # fmt: skip
         if self._under("full") or len(self.calls) >= self.circuits:
-            self.ledger.say("refused", call=call)
+            self.ledger.record("refused", call=call)
             peer.say(BinaryMessage(binary.RELEASE, m.call_id, cause=34, reason="group_full"))
             return
         if self._under("error"):
-            self.ledger.say("refused", call=call)
+            self.ledger.record("refused", call=call)
             peer.say(BinaryMessage(binary.RELEASE, m.call_id, cause=ERROR_CAUSE))
             return
         held = self.calls[m.call_id] = Held(peer, m.class_name)
@@ -171,7 +171,7 @@
         if held is None:
             return
         held.stands = True
-        self.ledger.say("answered", call=f"{call:016x}")
+        self.ledger.record("answered", call=f"{call:016x}")
         if self._under("spoil"):
             held.peer.stream.send(NOISE)
         else:
@@ -189,7 +189,7 @@
         held = self.calls.get(call)
         if held is None:
             return
-        self.ledger.say("over", call=f"{call:016x}")
+        self.ledger.record("over", call=f"{call:016x}")
         release = BinaryMessage(binary.RELEASE, call, cause=16)
         # Also on connections that open soon after: the one of its set-up may be broken, and not known to be.
         host = held.peer.host
@@ -211,7 +211,7 @@
         self.peers.pop(peer, None)
         for call, held in list(self.calls.items()):
             if held.peer is peer and not held.stands:
-                self.ledger.say("dropped", call=f"{call:016x}")
+                self.ledger.record("dropped", call=f"{call:016x}")
                 self._free(call)
 
     def _group_changed(self) -> None:
@@ -238,13 +238,13 @@
     parser.add_argument("--class-hold", action="append", default=[], help="NAME=MS, for calls of that class")
     parser.add_argument("--fault", type=fault_of, action="append", default=[])
     g = parser.parse_args()
-    loop, ledger = Loop(), Ledger(g.ledger)
+    loop, ledger = Loop(), EventLog(g.ledger)
     holds = {name: float(ms) for name, ms in (text.split("=") for text in g.class_hold)}
     exchange = StandInExchange(
         loop, g.listen, ledger, g.circuits, g.seed, g.set_up_ms, g.hold_ms, tuple(g.fault), holds, g.name
     )
     read_commands(loop, exchange.command)
-    run_until_told(loop, ledger)
+    run_until_sigterm(loop, ledger)
 
 
 if __name__ == "__main__":
--- a/arrowrail/lab/observers.py
+++ b/arrowrail/lab/observers.py
@@ -10,7 +10,7 @@
 import re
 from typing import Protocol
 
-from arrowrail.lab.ledger import Ledger
+from arrowrail.lab.event_log import EventLog
 from arrowrail.wire.binary import messages as binary
 
 KINDS = {binary.SET_UP: "set_up", binary.ANSWER: "answer", binary.RELEASE: "release"}
@@ -41,7 +41,7 @@
 class BinaryObserver:
     """Set-ups, answers and releases of one connection to a server."""
 
-    def __init__(self, ledger: Ledger, route: str) -> None:
+    def __init__(self, ledger: EventLog, route: str) -> None:
         self._ledger, self._route = ledger, route
         self._connection = next(_connections)
         self._parsers: dict[str, binary.BinaryParser | None] = {
@@ -57,7 +57,7 @@
     def ended(self, by: str) -> None:
         """Whatever comes later is for nobody."""
         self._parsers = {"out": None, "in": None}
-        self._ledger.say("connection_ended", route=self._route, connection=self._connection, by=by)
+        self._ledger.record("connection_ended", route=self._route, connection=self._connection, by=by)
 
     def _read(self, way: str, data: bytes) -> None:
         parser = self._parsers[way]
@@ -67,12 +67,12 @@
             messages = parser.feed(data)
         except binary.BinaryError:
             self._parsers[way] = None
-            self._ledger.say("unreadable", route=self._route, connection=self._connection, way=way)
+            self._ledger.record("unreadable", route=self._route, connection=self._connection, way=way)
             return
         for message in messages:
             kind = KINDS.get(message.message_type)
             if kind is not None:
-                self._ledger.say(
+                self._ledger.record(
                     kind, way=way, route=self._route, connection=self._connection,
                     call=f"{message.call_id:016x}", cause=message.cause,
                 )  # fmt: skip
@@ -81,13 +81,13 @@
 class DiscoveryObserver:
     """Reads and the numbers of events of one connection to discovery."""
 
-    def __init__(self, ledger: Ledger, route: str) -> None:
+    def __init__(self, ledger: EventLog, route: str) -> None:
         self._ledger, self._route = ledger, route
         self._rest = b""
         self._ended = False
 
     def from_client(self, data: bytes) -> None:
-        self._ledger.say("discovery_read", route=self._route)
+        self._ledger.record("discovery_read", route=self._route)
 
     def to_client(self, data: bytes) -> None:
         if self._ended:
@@ -96,15 +96,15 @@
         end = 0
         for found in OFFSET.finditer(text):
             end = found.end()
-            self._ledger.say("discovery_event", route=self._route, offset=int(found[1]))
+            self._ledger.record("discovery_event", route=self._route, offset=int(found[1]))
         self._rest = text[max(end, len(text) - LONGEST_OFFSET) :]
 
     def ended(self, by: str) -> None:
         self._ended = True
-        self._ledger.say("discovery_ended", route=self._route, by=by)
+        self._ledger.record("discovery_ended", route=self._route, by=by)
 
 
-def observer_of(spoken: str, ledger: Ledger, route: str) -> Observer:
+def observer_of(spoken: str, ledger: EventLog, route: str) -> Observer:
     """The observer of a new connection, by what is spoken on its route."""
     if spoken == "binary":
         return BinaryObserver(ledger, route)
--- a/arrowrail/lab/platform.py
+++ b/arrowrail/lab/platform.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallClassPlan:
+class CallClassConfig:
     """One class of call in the settings; times in ms."""
 
     name: str
@@ -39,7 +39,7 @@
     state: str = IN_SERVICE
     started_ms: int = 0  # Unix time of a late start; 0: long ago
 
-    def line(self) -> dict[str, Any]:
+    def to_entry(self) -> dict[str, Any]:
         """As it stands in an event of discovery."""
         return {
             "uid": self.uid, "endpoint": self.address, "az": self.zone, "model": "std",
@@ -51,10 +51,10 @@
 class Deployment:
     """What the settings of all controllers of a deployment share; times in ms."""
 
-    classes: tuple[CallClassPlan, ...] = (CallClassPlan("voice"),)
+    classes: tuple[CallClassConfig, ...] = (CallClassConfig("voice"),)
     controllers: int = 1
     drain_grace_ms: int = 500
-    pause_ms: int = 300
+    release_pause_ms: int = 300
     cold_ms: int = 8000
     fall_ms: int = 3000
     fall_multiple: float = 4.0
@@ -65,7 +65,7 @@
     servers: tuple[Server, ...] = field(default=())
 
     @property
-    def longest_deadline_ms(self) -> int:
+    def max_deadline_ms(self) -> int:
         return max(c.deadline_ms for c in self.classes)
 
     def settings(self, rank: int = 0) -> dict[str, Any]:
@@ -87,7 +87,7 @@
             "discovery": "push",
             "family-info": {
                 "class-hold-ns": [c.hold_ms * MS for c in self.classes], "layout": "meshed",
-                "pools-by-class": [], "release-ns": self.pause_ms * MS, "resend-ns": 400 * MS,
+                "pools-by-class": [], "release-ns": self.release_pause_ms * MS, "resend-ns": 400 * MS,
                 "self-no": 0, "widths": [1 for _ in self.classes],
             },
             "instances": self.controllers,
@@ -102,13 +102,13 @@
         }  # fmt: skip
 
 
-def discovery_event(offset: int, servers: list[Server], whole: bool) -> dict[str, Any]:
+def discovery_event(offset: int, servers: list[Server], snapshot: bool) -> dict[str, Any]:
     """One numbered event of discovery."""
-    lines = [server.line() for server in servers]
-    return {"offset": offset, "topology": {"rev": offset, "all": whole, "targets": lines}}
+    entries = [server.to_entry() for server in servers]
+    return {"offset": offset, "topology": {"rev": offset, "all": snapshot, "targets": entries}}
 
 
-def configuration(
+def controller_config(
     deployment: Deployment, name: str, listen: str, discovery: str, rank: int = 0, offset: int = 1
 ) -> dict[str, Any]:
     """The configuration file of one controller; ``known`` holds the whole list as event ``offset``."""
@@ -121,7 +121,7 @@
     }  # fmt: skip
 
 
-def write_configuration(path: Path, value: dict[str, Any]) -> dict[str, str]:
+def write_config(path: Path, value: dict[str, Any]) -> dict[str, str]:
     """Put the file in place whole; returns the environment of the program that is to read it."""
     temporary = path.with_suffix(".new")
     temporary.write_bytes(orjson.dumps(value))
--- a/arrowrail/lab/processes.py
+++ b/arrowrail/lab/processes.py
@@ -57,21 +57,21 @@
     raise RuntimeError("no block of ports is free")
 
 
-def until(holds: Callable[[], bool], what: str, wait_s: float = WAIT_S) -> None:
+def wait_until(condition: Callable[[], bool], what: str, wait_s: float = WAIT_S) -> None:
     end = time.monotonic() + wait_s
-    while not holds():
+    while not condition():
         if time.monotonic() > end:
             raise TimeoutError(f"never came: {what}")
         time.sleep(0.02)
 
 
-def listens(port: int) -> bool:
+def is_listening(port: int) -> bool:
     with socket.socket() as s:
         s.settimeout(0.5)
         return s.connect_ex(("127.0.0.1", port)) == 0
 
 
-class Crew:
+class ProcessManager:
     """The processes of one drill; at the end all of them are gone."""
 
     def __init__(self, folder: Path) -> None:
@@ -93,14 +93,14 @@
         self.running[name] = child
         return child
 
-    def tell(self, name: str, line: bytes) -> None:
+    def send_line(self, name: str, line: bytes) -> None:
         stdin = self.running[name].stdin
         assert stdin is not None
         stdin.write(line + b"\n")
         stdin.flush()
 
-    def send(self, name: str, number: int) -> None:
-        self.running[name].send_signal(number)
+    def send_signal(self, name: str, signal_number: int) -> None:
+        self.running[name].send_signal(signal_number)
 
     def kill(self, name: str) -> None:
         """As a crash: no word, no goodbye."""
@@ -108,7 +108,7 @@
         child.kill()
         child.wait(WAIT_S)
 
-    def end(self, name: str) -> int:
+    def terminate(self, name: str) -> int:
         child = self.running.pop(name)
         child.send_signal(signal.SIGTERM)
         try:
@@ -118,14 +118,14 @@
             child.wait(WAIT_S)
             return -1
 
-    def died(self) -> list[str]:
+    def unexpected_exits(self) -> list[str]:
         """Those that ended by themselves."""
         return [f"{n} ended with {p.returncode}" for n, p in self.running.items() if p.poll() is not None]
 
-    def __enter__(self) -> Crew:
+    def __enter__(self) -> ProcessManager:
         return self
 
     def __exit__(self, _kind: type[BaseException] | None, _why: BaseException | None,
                  _trace: TracebackType | None) -> None:  # fmt: skip
         for name in list(self.running):
-            self.end(name)
+            self.terminate(name)
--- a/arrowrail/lab/proxy.py
+++ b/arrowrail/lab/proxy.py
@@ -30,8 +30,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from arrowrail.lab.commands import read_commands, run_until_told
-from arrowrail.lab.ledger import Ledger
+from arrowrail.lab.commands import read_commands, run_until_sigterm
+from arrowrail.lab.event_log import EventLog
 from arrowrail.lab.observers import Observer, observer_of
 from arrowrail.loop import READ, WRITE, Loop
 from arrowrail.state.address import parse_address
@@ -274,7 +274,7 @@
 class Proxy:
     """All routes of one process, and the commands that change them."""
 
-    def __init__(self, loop: Loop, ledger: Ledger, addresses: list[Address]) -> None:
+    def __init__(self, loop: Loop, ledger: EventLog, addresses: list[Address]) -> None:
         self.loop, self.ledger = loop, ledger
         self.routes = {address.name: Route(self, address) for address in addresses}
 
@@ -285,7 +285,7 @@
             route.reset()
         else:
             route.set_mode(asked["do"], asked.get("toward", UPSTREAM), bool(asked.get("forget")))
-        self.ledger.say("fault", **asked)
+        self.ledger.record("fault", **asked)
 
 
 def address_of(text: str) -> Address:
@@ -300,11 +300,11 @@
     parser.add_argument("routes", nargs="+", type=address_of)
     parser.add_argument("--ledger", required=True)
     given = parser.parse_args()
-    loop, ledger = Loop(), Ledger(given.ledger)
+    loop, ledger = Loop(), EventLog(given.ledger)
     proxy = Proxy(loop, ledger, given.routes)
-    ledger.say("started")
+    ledger.record("started")
     read_commands(loop, proxy.command)
-    run_until_told(loop, ledger)
+    run_until_sigterm(loop, ledger)
 
 
 if __name__ == "__main__":
--- a/arrowrail/lab/relay.py
+++ b/arrowrail/lab/relay.py
@@ -14,8 +14,8 @@
 from functools import partial
 from typing import Any
 
-from arrowrail.lab.commands import read_commands, run_until_told
-from arrowrail.lab.ledger import Ledger
+from arrowrail.lab.commands import read_commands, run_until_sigterm
+from arrowrail.lab.event_log import EventLog
 from arrowrail.loop import READ, Loop
 
 
@@ -59,7 +59,7 @@
     loop = Loop()
     relay = Relay(loop, routes, g.loss, g.seed)
     read_commands(loop, relay.command)
-    run_until_told(loop, Ledger(os.devnull))
+    run_until_sigterm(loop, EventLog(os.devnull))
 
 
 if __name__ == "__main__":
--- a/arrowrail/lab/soak/callers.py
+++ b/arrowrail/lab/soak/callers.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 from arrowrail.core.requests import MS
-from arrowrail.lab.commands import read_commands, run_until_told
-from arrowrail.lab.ledger import Ledger
+from arrowrail.lab.commands import read_commands, run_until_sigterm
+from arrowrail.lab.event_log import EventLog
 from arrowrail.loop import Loop
 from arrowrail.wire.sip import messages as sip
 from arrowrail.wire.stream import Stream, connect
@@ -88,7 +88,7 @@
         self.stream: Stream | None = connect(callers.loop, self, callers.address)
 
     def connected(self) -> None:
-        self.callers.ledger.say("connected", line=self.number)
+        self.callers.ledger.record("connected", line=self.number)
         self.usable = True
         waiting, self.waiting = self.waiting, []
         for call, message in waiting:
@@ -100,7 +100,7 @@
             self.waiting.append((call, message))
             return
         self.open_calls[call] = Placed(message, self.callers.loop.now, resent)
-        self.callers.ledger.say("sent", call=call, line=self.number, resent=resent)
+        self.callers.ledger.record("sent", call=call, line=self.number, resent=resent)
         self.stream.send(message)
 
     def send(self, message: bytes) -> None:
@@ -110,7 +110,7 @@
     def received(self, data: bytes) -> None:
         for message in self.parser.feed(data):
             if isinstance(message, sip.Malformed):
-                self.callers.ledger.say("unreadable", line=self.number, why=message.reason)
+                self.callers.ledger.record("unreadable", line=self.number, why=message.reason)
             else:
                 self.callers.message(self, message)
         self.idle_since = self.callers.loop.now
@@ -132,7 +132,7 @@
 
     loop: Loop
     address: str
-    ledger: Ledger
+    ledger: EventLog
     random: random.Random
     classes: tuple[CallerClass, ...]
     exchanges: tuple[int, ...]
@@ -168,12 +168,12 @@
         """The controller is ready: calls go to it from now on."""
         if not self.ready:
             self.ready, self.connect_until, self.send_until = True, 0, 0
-            self.ledger.say("ready")
+            self.ledger.record("ready")
             self.open_lines()
 
     def command(self, asked: Any) -> None:
         now = self.loop.now
-        self.ledger.say("command", **asked)
+        self.ledger.record("command", **asked)
         if asked["do"] == "shutdown":
             self.connect_until = now + int(asked["connect_s"] * S)
             self.send_until = now + int(asked["send_s"] * S)
@@ -227,7 +227,7 @@
         ]  # fmt: skip
         crossed = {call for call, _ in crossing}
         lost = [call for call in open_calls if call not in crossed]
-        self.ledger.say("lost", line=line.number, why=why, calls=lost, crossed=sorted(crossed))
+        self.ledger.record("lost", line=line.number, why=why, calls=lost, crossed=sorted(crossed))
         for call, placed in crossing:
             again = self.open_line(short=True)
             if again is not None:
@@ -258,7 +258,9 @@
             + ("X-Retry: 1\r\n" if retry else "")
             + f"X-Facts: dest:{exchange};width:1;via:-1\r\nContent-Length: {len(body)}\r\n\r\n"
         )
-        self.ledger.say("placed", call=call, kind=kind.name, patience_ms=kind.patience_ms, exchange=exchange)
+        self.ledger.record(
+            "placed", call=call, kind=kind.name, patience_ms=kind.patience_ms, exchange=exchange
+        )
         line.place(call, (head + body).encode())
         if early:
             wait = int(kind.patience_ms * EARLY_SHARE) * MS
@@ -270,13 +272,13 @@
     def _give_up(self, call: str) -> None:
         line = self._holder(call)
         if line is not None and self.may_send:
-            self.ledger.say("given_up", call=call)
+            self.ledger.record("given_up", call=call)
             line.send(sip.request("CANCEL", f"sip:{call}@net", "peer", call, 1))
 
     def message(self, line: Line, message: sip.SipMessage) -> None:
         call = message.call_id
         if message.method == "BYE":
-            self.ledger.say("bye", call=call, line=line.number, reason=message.headers.get("reason", ""))
+            self.ledger.record("bye", call=call, line=line.number, reason=message.headers.get("reason", ""))
             self.standing.pop(call, None)
             line.send(sip.response(200, message))
         elif message.cseq_method == "OPTIONS" and message.status == 200:
@@ -287,7 +289,7 @@
     def _answered(self, line: Line, message: sip.SipMessage) -> None:
         call = message.call_id
         made_by = message.body.partition(b"\r\n")[0].decode("utf-8", "replace") if message.body else ""
-        self.ledger.say("answer", call=call, status=message.status, line=line.number, made_by=made_by)
+        self.ledger.record("answer", call=call, status=message.status, line=line.number, made_by=made_by)
         line.open_calls.pop(call, None)
         line.send(sip.request("ACK", f"sip:{call}@net", "peer", call, 1))
         if message.status == 200:
@@ -305,7 +307,7 @@
         usable = [line for line in self.lines if line.usable]
         if call in self.standing and usable and self.may_send:
             del self.standing[call]
-            self.ledger.say("hung_up", call=call)
+            self.ledger.record("hung_up", call=call)
             self.random.choice(usable).send(sip.request("BYE", f"sip:{call}@net", "peer", call, 2))
 
     def _close_idle(self, line: Line) -> None:
@@ -341,14 +343,14 @@
 
     def received(self, data: bytes) -> None:
         if data.startswith(b"SIP/2.0 200"):
-            self.callers.ledger.say("rude_served", how=self.how)
+            self.callers.ledger.record("rude_served", how=self.how)
         self.answered = True
 
     def lost(self, _why: OSError | None) -> None:
         self.answered = True
 
     def _late(self) -> None:
-        self.callers.ledger.say("rude", how=self.how, answered=self.answered)
+        self.callers.ledger.record("rude", how=self.how, answered=self.answered)
         self.stream.close()
 
 
@@ -384,7 +386,7 @@
     parser.add_argument("--hang-up-share", type=float, default=0.3)
     parser.add_argument("--retry-share", type=float, default=0.2)
     given = parser.parse_args()
-    loop, ledger = Loop(), Ledger(given.ledger)
+    loop, ledger = Loop(), EventLog(given.ledger)
     habits = Habits(given.short_share, given.early_share, given.hang_up_share, given.retry_share)
     callers = Callers(
         loop,
@@ -399,7 +401,7 @@
     callers.sweep()
     schedule(callers, given.rate, given.seconds)
     read_commands(loop, callers.command)
-    run_until_told(loop, ledger)
+    run_until_sigterm(loop, ledger)
 
 
 if __name__ == "__main__":
--- a/arrowrail/lab/soak/checks.py
+++ b/arrowrail/lab/soak/checks.py
@@ -91,7 +91,7 @@
 def attempts_in_turn(history: History) -> Iterator[Breach]:
     """At most four attempts, never two at once, and a pause after one that timed out, broke or was
     cancelled."""
-    pause_ns = Deployment().pause_ms * MS
+    pause_ns = Deployment().release_pause_ms * MS
     for call in history.calls.values():
         if len(call.attempts) > MAX_ATTEMPTS:
             yield Breach("attempts", call.attempts[-1].sent, f"{len(call.attempts)} attempts", call.call)
--- a/arrowrail/lab/soak/history.py
+++ b/arrowrail/lab/soak/history.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from arrowrail.lab.ledger import read
+from arrowrail.lab.event_log import read_events
 from arrowrail.lab.soak.plan import Plan, controller_names
 
 MS = 1_000_000
@@ -149,18 +149,18 @@
 def load(plan: Plan, folder: Path) -> History:
     """Put the ledgers of a trial together."""
     history = History(plan)
-    for line in read(folder / "player.jsonl"):
+    for line in read_events(folder / "player.jsonl"):
         _player(history, line)
     routes = _server_routes(folder)
     for name in controller_names(plan.controllers):
-        for line in read(folder / f"{name}.callers.jsonl"):
+        for line in read_events(folder / f"{name}.callers.jsonl"):
             _callers(history, name, line)
-    for line in read(folder / "proxy.jsonl"):
+    for line in read_events(folder / "proxy.jsonl"):
         _proxy(history, routes, line)
     for path in sorted(folder.glob("s*.jsonl")):
-        _server(history, path.stem, list(read(path)))
+        _server(history, path.stem, list(read_events(path)))
     for path in folder.glob("*.jsonl"):
-        late = [line["ms"] for line in read(path) if line["what"] == "late"]
+        late = [line["ms"] for line in read_events(path) if line["what"] == "late"]
         history.late_ms = max([history.late_ms, *late])
     return history
 
@@ -168,7 +168,7 @@
 def _server_routes(folder: Path) -> dict[str, list[tuple[int, str]]]:
     """By route, which server stood behind it from when on, where that changed."""
     taken: dict[str, list[tuple[int, str]]] = defaultdict(list)
-    for line in read(folder / "player.jsonl"):
+    for line in read_events(folder / "player.jsonl"):
         if line["what"] == "address_taken":
             taken[line["route"]].append((line["t"], line["server"]))
     return taken
--- a/arrowrail/lab/soak/plan.py
+++ b/arrowrail/lab/soak/plan.py
@@ -10,7 +10,7 @@
 from dataclasses import asdict, dataclass, replace
 from typing import Any
 
-from arrowrail.lab.platform import CallClassPlan
+from arrowrail.lab.platform import CallClassConfig
 
 SECONDS = 16.0  # of faults and traffic, where nothing else is asked for
 SHORTEST_SECONDS = 8.0
@@ -65,7 +65,7 @@
     servers: int
     circuits: int
     set_up_ms: float
-    classes: tuple[CallClassPlan, ...]
+    classes: tuple[CallClassConfig, ...]
     sockets: int
     rate: float
     short_share: float
@@ -109,8 +109,10 @@
     controllers, servers = source.choice((1, 1, 2)), source.randint(2, 4)
     deadline_ms = source.choice((700, 1150, 2000, 3000, 9000, 9000))
     classes = (
-        CallClassPlan("status-report", deadline_ms, max(300, deadline_ms // 3), source.choice((1500, 4000))),
-        CallClassPlan(
+        CallClassConfig(
+            "status-report", deadline_ms, max(300, deadline_ms // 3), source.choice((1500, 4000))
+        ),
+        CallClassConfig(
             "alarm-video", deadline_ms, max(400, deadline_ms // 3), source.choice((9000, 30_000)), 4.0
         ),
     )
--- a/arrowrail/lab/soak/player.py
+++ b/arrowrail/lab/soak/player.py
@@ -19,9 +19,9 @@
 
 import orjson
 
-from arrowrail.lab.ledger import Ledger
-from arrowrail.lab.platform import Deployment, Server, configuration, write_configuration
-from arrowrail.lab.processes import Crew, free_ports, listens, until
+from arrowrail.lab.event_log import EventLog
+from arrowrail.lab.platform import Deployment, Server, controller_config, write_config
+from arrowrail.lab.processes import ProcessManager, free_ports, is_listening, wait_until
 from arrowrail.lab.soak.plan import TAIL_S, Fault, Plan, controller_names, server_names
 
 LOOPBACK = "127.0.0.1"
@@ -66,8 +66,8 @@
 
     def __init__(self, plan: Plan, folder: Path, program: tuple[str, ...] = PROGRAM) -> None:
         self.plan, self.folder, self.program = plan, folder, program
-        self.crew = Crew(folder)
-        self.ledger = Ledger(folder / "player.jsonl")
+        self.processes = ProcessManager(folder)
+        self.ledger = EventLog(folder / "player.jsonl")
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self.began = 0.0
@@ -103,7 +103,7 @@
 
     def play(self) -> None:
         """From the start of the processes to their end; what they wrote stays in the folder."""
-        with self.crew:
+        with self.processes:
             self._start()
             self.began = time.monotonic()
             self.note("began", seconds=self.plan.seconds)
@@ -118,29 +118,29 @@
     def _start(self) -> None:
         for name in server_names(self.plan.servers):
             self._start_server(name, self.server_ports[name])
-        self.crew.start("proxy", "arrowrail.lab.proxy", "--ledger", str(self.folder / "proxy.jsonl"),
+        self.processes.start("proxy", "arrowrail.lab.proxy", "--ledger", str(self.folder / "proxy.jsonl"),
                         *self.routes)  # fmt: skip
         for controller in self.controllers:
-            self.crew.start(f"{controller.name}.bus", "arrowrail.lab.bus", "--listen",
+            self.processes.start(f"{controller.name}.bus", "arrowrail.lab.bus", "--listen",
                             f"{LOOPBACK}:{controller.bus_port}", "--first", "2",
                             "--ledger", str(self.folder / f"{controller.name}.bus.jsonl"))  # fmt: skip
         for port in (c.discovery["a"] for c in self.controllers):
-            until(lambda port=port: listens(port), "the proxy")  # type: ignore[misc]
+            wait_until(lambda port=port: is_listening(port), "the proxy")  # type: ignore[misc]
         for controller in self.controllers:
-            until(lambda c=controller: listens(c.bus_port), "discovery")  # type: ignore[misc]
+            wait_until(lambda c=controller: is_listening(c.bus_port), "discovery")  # type: ignore[misc]
             self._start_controller(controller)
             self._start_callers(controller)
         for controller in self.controllers:
-            until(lambda c=controller: listens(c.port), "a controller")  # type: ignore[misc]
+            wait_until(lambda c=controller: is_listening(c.port), "a controller")  # type: ignore[misc]
 
     def _start_server(self, name: str, port: int) -> None:
         holds = [part for c in self.plan.classes for part in ("--class-hold", f"{c.name}={c.hold_ms}")]
-        self.crew.start(
+        self.processes.start(
             name, "arrowrail.lab.exchange", "--listen", f"{LOOPBACK}:{port}", "--name", name,
             "--ledger", str(self.folder / f"{name}.jsonl"), "--circuits", str(self.plan.circuits),
             "--seed", str(self.plan.seed), "--set-up-ms", str(self.plan.set_up_ms), *holds,
         )  # fmt: skip
-        until(lambda: listens(port), f"server {name}")
+        wait_until(lambda: is_listening(port), f"server {name}")
         self.dead_servers.discard(name)
         self.note("server_started", server=name)
 
@@ -153,7 +153,7 @@
 
     def _start_controller(self, controller: RunningController) -> None:
         environment = self._write_configuration(controller)
-        child = self.crew.start(
+        child = self.processes.start(
             controller.name, *self.program, environment=environment | {"ARROWRAIL_LOG": "DEBUG"}
         )
         resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (self.plan.sockets, self.plan.sockets))
@@ -162,11 +162,11 @@
 
     def _write_configuration(self, controller: RunningController) -> dict[str, str]:
         discovery = f"{LOOPBACK}:{controller.discovery[controller.uses]}"
-        value = configuration(
+        value = controller_config(
             self.deployment(controller), controller.name, f"{LOOPBACK}:{controller.port}", discovery,
             controller.rank, controller.event,
         )  # fmt: skip
-        return write_configuration(self.folder / f"{controller.name}.json", value)
+        return write_config(self.folder / f"{controller.name}.json", value)
 
     def _start_callers(self, controller: RunningController) -> None:
         plan = self.plan
@@ -174,7 +174,7 @@
             part for c in plan.classes for part in ("--class", f"{c.name}={c.deadline_ms}:{4 / c.worth}")
         ]
         exchanges = [part for n in range(plan.servers) for part in ("--exchange", str(n + 1))]
-        self.crew.start(
+        self.processes.start(
             f"{controller.name}.callers", "arrowrail.lab.soak.callers",
             "--to", f"{LOOPBACK}:{controller.port}",
             "--ledger", str(self.folder / f"{controller.name}.callers.jsonl"),
@@ -196,7 +196,7 @@
         self.at(time.monotonic() - self.began + seconds, act)
 
     def note(self, what: str, **facts: object) -> None:
-        self.ledger.say(what, **facts)
+        self.ledger.record(what, **facts)
         self.ledger.flush()
 
     def _run(self, seconds: float) -> None:
@@ -210,7 +210,7 @@
 
     def _look_for_crashes(self) -> None:
         for controller in self.controllers:
-            child = self.crew.running.get(controller.name)
+            child = self.processes.running.get(controller.name)
             if child is not None and child.poll() is not None and not controller.leaving:
                 controller.leaving = True
                 self.note("controller_crashed", controller=controller.name, code=child.returncode)
@@ -218,7 +218,7 @@
     def _sample(self) -> None:
         """Memory and descriptors of each controller."""
         for controller in self.controllers:
-            child = self.crew.running.get(controller.name)
+            child = self.processes.running.get(controller.name)
             if child is not None and child.poll() is None:
                 memory, descriptors = _usage(child)
                 self.note("usage", controller=controller.name, memory_mb=memory, descriptors=descriptors)
@@ -243,7 +243,7 @@
         acts.get(fault.kind, self._server_fault)(fault)
 
     def _command_proxy(self, route: str, mode: str, **more: object) -> None:
-        self.crew.tell("proxy", orjson.dumps({"route": route, "do": mode, **more}))
+        self.processes.send_line("proxy", orjson.dumps({"route": route, "do": mode, **more}))
 
     def _routes_to(self, server: str, mode: str, **more: object) -> None:
         for controller in self.controllers:
@@ -263,13 +263,13 @@
 
     def _server_fault(self, fault: Fault) -> None:
         asked = {"fault": fault.kind, "seconds": fault.seconds}
-        self.crew.tell(fault.target, orjson.dumps(asked))
+        self.processes.send_line(fault.target, orjson.dumps(asked))
 
     def _end_server(self, server: str, mode: str) -> None:
         """The machine or its process ends; ``mode`` is what the network shows of it."""
         self.dead_servers.add(server)
         self._routes_to(server, mode)
-        self.crew.kill(server)
+        self.processes.kill(server)
         self.note("server_ended", server=server, how=mode)
 
     def _vanish_for_good(self, fault: Fault) -> None:
@@ -345,7 +345,7 @@
                 changed = replace(changed, started_ms=started_ms)
             controller.servers[server] = changed
             controller.event += 1
-            self.crew.tell(f"{controller.name}.bus", orjson.dumps([changed.line()]))
+            self.processes.send_line(f"{controller.name}.bus", orjson.dumps([changed.to_entry()]))
             self.note("listed", controller=controller.name, server=server, state=state,
                       offset=controller.event)  # fmt: skip
 
@@ -365,7 +365,7 @@
             controller.uses = "b" if controller.uses == "a" else "a"
             self._command_proxy(f"{controller.name}.discovery-{controller.uses}", "pass")
             self._write_configuration(controller)
-            self.crew.send(controller.name, signal.SIGHUP)
+            self.processes.send_signal(controller.name, signal.SIGHUP)
             self._command_proxy(old, "hang")
             self.later(MOVE_CLOSE_S, lambda old=old: self._command_proxy(old, "refuse"))  # type: ignore[misc]
 
@@ -373,7 +373,7 @@
         return next(c for c in self.controllers if c.name == name)
 
     def _tell_callers(self, controller: str, **asked: object) -> None:
-        self.crew.tell(f"{controller}.callers", orjson.dumps(asked))
+        self.processes.send_line(f"{controller}.callers", orjson.dumps(asked))
 
     def _callers(self, fault: Fault) -> None:
         if fault.kind == "crowd":
@@ -388,10 +388,10 @@
         longest_s = max(c.deadline_ms for c in self.plan.classes) / 1000
         kill_s = min(longest_s, LONGEST_COUNTED_S) + AFTER_DEADLINE_S
         controller.leaving = True
-        self.crew.send(controller.name, signal.SIGTERM)
+        self.processes.send_signal(controller.name, signal.SIGTERM)
         self.note("controller_told_to_end", controller=controller.name, kill_s=kill_s)
         self._tell_callers(controller.name, do="shutdown", connect_s=CONNECTS_S, send_s=kill_s - LAST_SEND_S)
-        child = self.crew.running[controller.name]
+        child = self.processes.running[controller.name]
         if fault.detail != "once":
             number = signal.SIGTERM if fault.detail == "twice" else signal.SIGHUP
             self.later(0.3, lambda: None if child.poll() is not None else child.send_signal(number))
@@ -404,11 +404,11 @@
             self._end_controller(controller)
 
     def _end_controller(self, controller: RunningController) -> None:
-        child = self.crew.running[controller.name]
+        child = self.processes.running[controller.name]
         ended_by_itself = child.poll()
         if ended_by_itself not in (None, 0):
             self.note("controller_crashed", controller=controller.name, code=ended_by_itself)
-        self.crew.kill(controller.name)
+        self.processes.kill(controller.name)
         self.note("controller_killed", controller=controller.name, ended=ended_by_itself is not None)
         self._tell_callers(controller.name, do="killed")
         self.later(START_AGAIN_S, lambda: self._start_controller(controller))
@@ -416,8 +416,8 @@
     def _end_controllers(self) -> None:
         for controller in self.controllers:
             self._tell_callers(controller.name, do="stop")
-            if controller.name in self.crew.running:
-                self.crew.kill(controller.name)
+            if controller.name in self.processes.running:
+                self.processes.kill(controller.name)
 
 
 def _usage(child: subprocess.Popen[bytes]) -> tuple[float, int]:
--- a/arrowrail/lab/soak/trace.py
+++ b/arrowrail/lab/soak/trace.py
@@ -7,7 +7,7 @@
 from datetime import datetime
 from pathlib import Path
 
-from arrowrail.lab.ledger import read
+from arrowrail.lab.event_log import read_events
 
 LOG_LINE = re.compile(r"^(\d{4}-\d\d-\d\d \d\d:\d\d:\d\d\.\d{3}) \| \w+ +\| \S+ - (.*)$")
 PLAYER = ("fault", "server_ended", "server_started", "controller_told_to_end", "controller_killed",
@@ -21,10 +21,12 @@
     if not lines:
         return [f"nobody wrote anything of call {call}"]
     first, last = min(lines)[0] - SHOWN_BEFORE_NS, max(lines)[0]
-    for line in read(folder / "player.jsonl"):
+    for line in read_events(folder / "player.jsonl"):
         if line["what"] in PLAYER and first <= line["t"] <= last:
             lines.append((line["t"], "player", _facts(line)))
-    began = next((line["t"] for line in read(folder / "player.jsonl") if line["what"] == "began"), first)
+    began = next(
+        (line["t"] for line in read_events(folder / "player.jsonl") if line["what"] == "began"), first
+    )
     return [f"{(at - began) / 1e9:9.3f} {who:14} {what}" for at, who, what in sorted(lines)]
 
 
@@ -35,7 +37,7 @@
 
 def _ledgers(folder: Path, call: str) -> Iterator[tuple[int, str, str]]:
     for path in sorted(folder.glob("*.jsonl")):
-        for line in read(path):
+        for line in read_events(path):
             named = line.get("call") == call or call in line.get("crossed", ())
             if named or (line["what"] == "lost" and call in line.get("calls", ())):
                 yield line["t"], path.stem, _facts(line)
--- a/arrowrail/lab/unlimited.py
+++ b/arrowrail/lab/unlimited.py
@@ -11,7 +11,7 @@
 from arrowrail.sidecar.main import Sidecar
 
 
-class NoLimits(Limiter):
+class UnlimitedLimiter(Limiter):
     """Lets everything in and counts nothing."""
 
     def admit(self, now: int, class_name: str, connection: object) -> AdmissionResult:
@@ -27,7 +27,7 @@
     if result.value is None:
         raise RuntimeError(result.faults)
     sidecar = Sidecar(result.value, folder, 1)
-    sidecar.admission.limiter = NoLimits(result.value.limits, 0)
+    sidecar.admission.limiter = UnlimitedLimiter(result.value.limits, 0)
     sidecar.run()
 
 
--- a/tests/incidents/test_b85302.py
+++ b/tests/incidents/test_b85302.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from tests.live import LIMIT_S, Caller
-from tests.world import world
+from tests.scenario import start_scenario
 
 TOLD_WITHIN_S = 8.05  # the limit and its slack
 
@@ -34,11 +34,14 @@
 
 
 def test_callers_are_told_when_their_server_vanishes_while_discovery_is_down(tmp_path: Path) -> None:
-    with world(tmp_path) as trial:
-        caller = Caller(trial.controller)
-        lost, kept = trial.stand(caller, 1, 5, exchange=1), trial.stand(caller, 101, 5, exchange=2)
+    with start_scenario(tmp_path) as trial:
+        caller = Caller(trial.controller_port)
+        lost, kept = (
+            trial.establish_calls(caller, 1, 5, exchange=1),
+            trial.establish_calls(caller, 101, 5, exchange=2),
+        )
         assert len(lost) >= 3 and len(kept) >= 3
-        vanished = trial.fault("s1", "vanish")
+        vanished = trial.inject_fault("s1", "vanish")
         told = releases(caller, set(lost), vanished)
         assert set(lost) - told.keys() == set(), "their callers were not told in time"
         # The other server is as quiet, and goes on: its calls are not touched.
@@ -48,46 +51,47 @@
 
 
 def test_callers_are_told_when_a_new_process_takes_the_place_of_a_vanished_one(tmp_path: Path) -> None:
-    with world(tmp_path) as trial:
-        caller = Caller(trial.controller)
-        lost = trial.stand(caller, 1, 5, exchange=1)
+    with start_scenario(tmp_path) as trial:
+        caller = Caller(trial.controller_port)
+        lost = trial.establish_calls(caller, 1, 5, exchange=1)
         assert len(lost) >= 3
-        vanished = trial.fault("s1", "vanish")
+        vanished = trial.inject_fault("s1", "vanish")
         time.sleep(4.0)
-        trial.fault("s1", "pass", forget=True)  # connections come up again; those of before stay silent
+        # Connections come up again; those of before stay silent.
+        trial.inject_fault("s1", "pass", forget=True)
         assert releases(caller, set(lost), vanished).keys() == set(lost)
 
 
 def test_callers_are_told_when_a_server_dies_and_is_back_before_anybody_says_so(tmp_path: Path) -> None:
-    with world(tmp_path) as trial:
-        caller = Caller(trial.controller)
-        lost = trial.stand(caller, 1, 5, exchange=1)
+    with start_scenario(tmp_path) as trial:
+        caller = Caller(trial.controller_port)
+        lost = trial.establish_calls(caller, 1, 5, exchange=1)
         assert len(lost) >= 3
-        died = trial.fault("s1", "refuse")
+        died = trial.inject_fault("s1", "refuse")
         time.sleep(1.0)
-        trial.fault("s1", "pass")
+        trial.inject_fault("s1", "pass")
         assert releases(caller, set(lost), died).keys() == set(lost)
 
 
 def test_callers_are_told_when_the_end_of_their_calls_falls_into_a_hang(tmp_path: Path) -> None:
-    with world(tmp_path, hold_ms=2000) as trial:  # calls end 1 to 3 s after they are answered
-        caller = Caller(trial.controller)
-        over = trial.stand(caller, 1, 5, exchange=1)
+    with start_scenario(tmp_path, hold_ms=2000) as trial:  # calls end 1 to 3 s after they are answered
+        caller = Caller(trial.controller_port)
+        over = trial.establish_calls(caller, 1, 5, exchange=1)
         assert len(over) >= 3
-        hung = trial.fault("s1", "hang")  # connections come up, and nothing is said on them
+        hung = trial.inject_fault("s1", "hang")  # connections come up, and nothing is said on them
         assert releases(caller, set(over), hung).keys() == set(over)
 
 
 def test_calls_outlive_an_outage_of_the_link_that_is_mended_in_time(tmp_path: Path) -> None:
-    with world(tmp_path) as trial:
-        caller = Caller(trial.controller)
-        kept = trial.stand(caller, 1, 5, exchange=1)
+    with start_scenario(tmp_path) as trial:
+        caller = Caller(trial.controller_port)
+        kept = trial.establish_calls(caller, 1, 5, exchange=1)
         assert len(kept) >= 3
-        since = trial.fault("s1", "vanish")
+        since = trial.inject_fault("s1", "vanish")
         time.sleep(5.0)
-        trial.fault("s1", "pass")
+        trial.inject_fault("s1", "pass")
         # One more call: its group changes, and the server says so on the connections of before.
-        kept += trial.stand(caller, 11, 1, exchange=1)
+        kept += trial.establish_calls(caller, 11, 1, exchange=1)
         assert releases(caller, set(kept), since + 2.0).keys() == set()
         for call in kept:
             caller.send("BYE", call)
@@ -95,11 +99,11 @@
 
 
 def test_calls_outlive_resets_of_all_connections(tmp_path: Path) -> None:
-    with world(tmp_path) as trial:
-        caller = Caller(trial.controller)
-        kept = trial.stand(caller, 1, 5, exchange=1)
+    with start_scenario(tmp_path) as trial:
+        caller = Caller(trial.controller_port)
+        kept = trial.establish_calls(caller, 1, 5, exchange=1)
         since = time.monotonic()
         for _ in range(3):
-            trial.fault("s1", "reset")
+            trial.inject_fault("s1", "reset")
             time.sleep(0.5)
         assert releases(caller, set(kept), since + 2.0).keys() == set()
--- a/tests/world.py
+++ b/tests/scenario.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from arrowrail.lab.platform import CallClassPlan, Deployment, Server, configuration, write_configuration
-from arrowrail.lab.processes import Crew, free_ports, listens, until
+from arrowrail.lab.platform import CallClassConfig, Deployment, Server, controller_config, write_config
+from arrowrail.lab.processes import ProcessManager, free_ports, is_listening, wait_until
 from tests.live import Caller
 
 HOLD_MS = 60_000  # far longer than the test: no call ends by itself
@@ -24,20 +24,20 @@
 
 
 @dataclass(slots=True)
-class World:
+class Scenario:
     """One controller between a caller and servers, each behind its own route of the proxy."""
 
-    crew: Crew
-    controller: int  # its port
-    exchanges: int
+    processes: ProcessManager
+    controller_port: int  # its port
+    exchange_count: int
 
-    def fault(self, route: str, mode: str, **more: object) -> float:
+    def inject_fault(self, route: str, mode: str, **more: object) -> float:
         """Play a fault; returns the time at which it was asked for."""
         now = time.monotonic()
-        self.crew.tell("proxy", json.dumps({"route": route, "do": mode, **more}).encode())
+        self.processes.send_line("proxy", json.dumps({"route": route, "do": mode, **more}).encode())
         return now
 
-    def stand(self, caller: Caller, first: int, count: int, exchange: int) -> list[str]:
+    def establish_calls(self, caller: Caller, first: int, count: int, exchange: int) -> list[str]:
         """Set calls up at an exchange; returns the ids of those that stand."""
         standing = []
         for call in (f"{first + n:016x}" for n in range(count)):
@@ -48,9 +48,9 @@
 
 
 @contextmanager
-def world(
+def start_scenario(
     folder: Path, exchanges: int = 2, deadline_ms: int = 3000, hold_ms: int = HOLD_MS
-) -> Iterator[World]:
+) -> Iterator[Scenario]:
     ports = free_ports(2 * exchanges + 1)
     inner, outer, controller = ports[:exchanges], ports[exchanges : 2 * exchanges], ports[-1]
     names = [f"s{n + 1}" for n in range(exchanges)]
@@ -58,20 +58,20 @@
         Server(name, f"127.0.0.1:{port}", n + 1)
         for n, (name, port) in enumerate(zip(names, outer, strict=True))
     )
-    deployment = Deployment(classes=(CallClassPlan(CLASS, deadline_ms, hold_ms=HOLD_MS),), servers=servers)
-    with Crew(folder) as crew:
+    deployment = Deployment(classes=(CallClassConfig(CLASS, deadline_ms, hold_ms=HOLD_MS),), servers=servers)
+    with ProcessManager(folder) as processes:
         for name, port in zip(names, inner, strict=True):
-            crew.start(name, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{port}",
+            processes.start(name, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{port}",
                        "--ledger", str(folder / f"{name}.jsonl"), "--hold-ms", str(hold_ms))  # fmt: skip
         routes = [
             f"{name}=127.0.0.1:{front}=127.0.0.1:{back}"
             for name, front, back in zip(names, outer, inner, strict=True)
         ]
-        crew.start("proxy", "arrowrail.lab.proxy", "--ledger", str(folder / "proxy.jsonl"), *routes)
+        processes.start("proxy", "arrowrail.lab.proxy", "--ledger", str(folder / "proxy.jsonl"), *routes)
         for port in (*inner, *outer):
-            until(lambda port=port: listens(port), "a server")  # type: ignore[misc]
-        told = configuration(deployment, "n0", f"127.0.0.1:{controller}", NOWHERE)
-        environment = write_configuration(folder / "n0.json", told)
-        crew.start("n0", "arrowrail", environment=environment | {"ARROWRAIL_LOG": "DEBUG"})
-        until(lambda: listens(controller), "the controller")
-        yield World(crew, controller, exchanges)
+            wait_until(lambda port=port: is_listening(port), "a server")  # type: ignore[misc]
+        told = controller_config(deployment, "n0", f"127.0.0.1:{controller}", NOWHERE)
+        environment = write_config(folder / "n0.json", told)
+        processes.start("n0", "arrowrail", environment=environment | {"ARROWRAIL_LOG": "DEBUG"})
+        wait_until(lambda: is_listening(controller), "the controller")
+        yield Scenario(processes, controller, exchanges)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.live import Caller
-from tests.world import World, world
+from tests.scenario import Scenario, start_scenario
 
 KILL_AFTER_DEADLINE_S = 0.7  # PROTOCOL: after the longest deadline, which counts as 3 s at most
 SEND_STOP_S = 0.15  # before the kill; requests sent later cannot be answered in time
@@ -20,9 +20,9 @@
 class RequestSender(threading.Thread):
     """Sends requests on one open connection until a given time, and records the responses."""
 
-    def __init__(self, scenario: World, until: float, patience_ms: int) -> None:
+    def __init__(self, scenario: Scenario, until: float, patience_ms: int) -> None:
         super().__init__(daemon=True)
-        self.caller, self.until, self.patience_ms = Caller(scenario.controller), until, patience_ms
+        self.caller, self.until, self.patience_ms = Caller(scenario.controller_port), until, patience_ms
         self.sent: list[str] = []
         self.answers: list[str] = []
 
@@ -55,17 +55,17 @@
 def test_all_requests_until_the_kill_are_answered_while_servers_hang(
     tmp_path: Path, deadline_ms: int, signals: tuple[signal.Signals, ...]
 ) -> None:
-    with world(tmp_path, deadline_ms=deadline_ms) as scenario:
+    with start_scenario(tmp_path, deadline_ms=deadline_ms) as scenario:
         for route in ("s1", "s2"):
-            scenario.fault(route, "hang")
+            scenario.inject_fault(route, "hang")
         signalled = time.monotonic()
         kill_time = signalled + min(deadline_ms / 1000, 3.0) + KILL_AFTER_DEADLINE_S
         sender = RequestSender(scenario, kill_time - SEND_STOP_S, deadline_ms)
         for signal_number in signals:
-            scenario.crew.send("n0", signal_number)
+            scenario.processes.send_signal("n0", signal_number)
         sender.start()
         time.sleep(max(0.0, kill_time - time.monotonic()))
-        scenario.crew.kill("n0")
+        scenario.processes.kill("n0")
         sender.join(10)
         assert len(sender.sent) > 10
         unanswered = [call for call in sender.sent if call not in sender.answers]
@@ -76,14 +76,14 @@
 def test_requests_are_served_after_sigterm_and_established_calls_go_on(
     tmp_path: Path,
 ) -> None:
-    with world(tmp_path) as scenario:
-        caller = Caller(scenario.controller)
-        established = scenario.stand(caller, 1, 3, exchange=1)
-        scenario.crew.send("n0", signal.SIGTERM)
+    with start_scenario(tmp_path) as scenario:
+        caller = Caller(scenario.controller_port)
+        established = scenario.establish_calls(caller, 1, 3, exchange=1)
+        scenario.processes.send_signal("n0", signal.SIGTERM)
         time.sleep(1.5)
-        established += scenario.stand(caller, 11, 3, exchange=2)
+        established += scenario.establish_calls(caller, 11, 3, exchange=2)
         assert len(established) >= 5, "requests on an open connection are still served"
-        assert scenario.crew.running["n0"].wait(10) == 0
+        assert scenario.processes.running["n0"].wait(10) == 0
         for name in ("s1", "s2"):
             ledger = (tmp_path / f"{name}.jsonl").read_text()
             assert '"what":"released"' not in ledger, "no established call was released"
