--- a/arrowrail/lab/__init__.py
+++ b/arrowrail/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for outside systems, drills that play hard cases with them, and the judges of what they saw."""
+"""Stand-ins for external systems, drills that play faults with them, and checks of the recorded events."""
--- a/arrowrail/lab/application.py
+++ b/arrowrail/lab/application.py
@@ -1,9 +1,9 @@
-"""A stand-in application: callers over SIP on a few connections, at a rate, with surges.
+"""A stand-in application: places calls over SIP on a few connections, at a given rate and with surges.
 
 ``python -m arrowrail.lab.application --to ADDRESS --ledger FILE --rate 20 --seconds 10 ...``
 
-Calls arrive at random times drawn ahead from the seed, and do not wait for answers.  A surge is
-``FACTOR:FROM:SECONDS``.  ``--stop-reading FROM`` leaves everything unread from then on.
+The times of the calls are drawn in advance from the seed and do not depend on answers.  A surge is
+``FACTOR:FROM:SECONDS``.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from arrowrail.wire.stream import Stream, connect
 
 S = 1_000 * MS
-AGAIN_NS = 100 * MS
-BODY = b"c=IN IP4 127.0.0.1\r\nm=audio 40000 RTP/AVP 0\r\n"
+RECONNECT_NS = 100 * MS
+SESSION_DESCRIPTION = b"c=IN IP4 127.0.0.1\r\nm=audio 40000 RTP/AVP 0\r\n"
 
 
-class Line:
-    """One connection of the application, made again when it is lost."""
+class Connection:
+    """One connection of the application; it is reopened when it is lost."""
 
     def __init__(self, app: StandInApplication, number: int) -> None:
         self.app, self.number = app, number
-        self.life = 0  # counts the connections that it has had
+        self.open_count = 0  # number of times that it was opened
         self.stream: Stream | None = None
         self.parser = sip.SipParser()
         self.open()
 
     def open(self) -> None:
-        self.life += 1
+        self.open_count += 1
         self.parser = sip.SipParser()
         try:
             self.stream = connect(self.app.loop, self, self.app.address)
@@ -44,85 +44,91 @@
 
     @property
     def name(self) -> str:
-        return f"{self.number}.{self.life}"
+        return f"{self.number}.{self.open_count}"
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         return self.stream is not None and self.stream.open and not self.stream.connecting
 
     def connected(self) -> None:
-        self.app.ledger.record("connected", line=self.name)
+        self.app.event_log.record("connected", line=self.name)
 
     def received(self, data: bytes) -> None:
-        for m in self.parser.feed(data):
-            if isinstance(m, sip.Malformed):
-                self.app.ledger.record("unreadable", line=self.name, why=m.reason)
-            elif m.status and m.cseq_method == "INVITE" and m.status >= 200:
-                self.app.answered(self, m)
-            elif m.method == "BYE":
-                self.app.ledger.record("bye", call=m.call_id, line=self.name)
+        for message in self.parser.feed(data):
+            if isinstance(message, sip.Malformed):
+                self.app.event_log.record("unreadable", line=self.name, why=message.reason)
+            elif message.status and message.cseq_method == "INVITE" and message.status >= 200:
+                self.app.answered(self, message)
+            elif message.method == "BYE":
+                self.app.event_log.record("bye", call=message.call_id, line=self.name)
                 if self.stream is not None:
-                    self.stream.send(sip.response(200, m))
+                    self.stream.send(sip.response(200, message))
 
-    def lost(self, _why: OSError | None) -> None:
-        self.app.ledger.record("lost", line=self.name)
+    def lost(self, _error: OSError | None) -> None:
+        self.app.event_log.record("lost", line=self.name)
         self.stream = None
-        self.app.loop.timers.schedule(self.app.loop.now + AGAIN_NS, self.open)
+        self.app.loop.timers.schedule(self.app.loop.now + RECONNECT_NS, self.open)
 
 
 class StandInApplication:
+    """Places the calls and records what happens to them."""
+
     def __init__(
-        self, loop: Loop, address: str, ledger: EventLog, seed: int, lines: int, rate: float, seconds: float,
-        classes: dict[str, float], numbers: list[str], patience_ms: int, surge: tuple[float, float, float],
-        narrow: bool = False,
+        self, loop: Loop, address: str, event_log: EventLog, seed: int, connection_count: int, rate: float,
+        seconds: float, classes: dict[str, float], numbers: list[str], patience_ms: int,
+        surge: tuple[float, float, float], narrow: bool = False,
     ) -> None:  # fmt: skip
-        self.loop, self.address, self.ledger = loop, address, ledger
+        self.loop, self.address, self.event_log = loop, address, event_log
         self.random = random.Random(seed)
         self.classes, self.numbers, self.patience_ms = classes, numbers, patience_ms
-        self.narrow = narrow  # what surges comes on one connection only
-        self.lines = [Line(self, n) for n in range(lines)]
-        self.began, self.stopped = loop.now, False
-        factor, since, length = surge
-        at = 0.0
+        self.narrow = narrow  # calls of the surge use one connection only
+        self.connections = [Connection(self, number) for number in range(connection_count)]
+        self.started_ns, self.stopped = loop.now, False
+        factor, surge_start_s, surge_s = surge
+        at_s = 0.0
         while rate > 0:
-            surging = since <= at < since + length
-            at += self.random.expovariate(rate * (factor if surging else 1.0))
-            if at >= seconds:
+            surging = surge_start_s <= at_s < surge_start_s + surge_s
+            at_s += self.random.expovariate(rate * (factor if surging else 1.0))
+            if at_s >= seconds:
                 break
-            loop.timers.schedule(self.began + int(at * S), self._caller(surging))
+            loop.timers.schedule(self.started_ns + int(at_s * S), self._call_placer(surging))
 
-    def command(self, asked: Any) -> None:
-        """``{"do": "stop"}``: no calls from now on; what is open is still heard."""
-        self.stopped = self.stopped or asked["do"] == "stop"
+    def execute(self, command: Any) -> None:
+        """``{"do": "stop"}``: place no more calls; messages of open calls are still recorded."""
+        self.stopped = self.stopped or command["do"] == "stop"
 
-    def _caller(self, surging: bool):  # type: ignore[no-untyped-def]
-        return lambda: self._call(surging)
+    def _call_placer(self, surging: bool):  # type: ignore[no-untyped-def]
+        return lambda: self._place_call(surging)
 
-    def _call(self, surging: bool) -> None:
+    def _place_call(self, surging: bool) -> None:
         if self.stopped:
             return
         call = f"{self.random.getrandbits(64):016x}"
-        kind = self.random.choices(list(self.classes), list(self.classes.values()))[0]
+        class_name = self.random.choices(list(self.classes), list(self.classes.values()))[0]
         number = self.random.choice(self.numbers) + f"{self.random.randrange(1000):03d}"
-        up = [line for line in self.lines if line.up]
-        if not up:
-            self.ledger.record("no_line", call=call, kind=kind)
+        usable = [connection for connection in self.connections if connection.is_up]
+        if not usable:
+            self.event_log.record("no_line", call=call, kind=class_name)
             return
-        line = up[0] if surging and self.narrow else self.random.choice(up)
+        connection = usable[0] if surging and self.narrow else self.random.choice(usable)
         head = (
             f"INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP app\r\nCall-ID: {call}\r\n"
-            f"CSeq: 1 INVITE\r\nSubject: {kind}\r\nX-Patience: {self.patience_ms}\r\n"
-            f"Content-Length: {len(BODY)}\r\n\r\n"
+            f"CSeq: 1 INVITE\r\nSubject: {class_name}\r\nX-Patience: {self.patience_ms}\r\n"
+            f"Content-Length: {len(SESSION_DESCRIPTION)}\r\n\r\n"
         )
-        assert line.stream is not None
-        self.ledger.record("sent", call=call, kind=kind, line=line.name, surging=surging)
-        line.stream.send(head.encode() + BODY)
+        assert connection.stream is not None
+        self.event_log.record("sent", call=call, kind=class_name, line=connection.name, surging=surging)
+        connection.stream.send(head.encode() + SESSION_DESCRIPTION)
 
-    def answered(self, line: Line, m: sip.SipMessage) -> None:
-        self.ledger.record("answer", call=m.call_id, status=m.status, line=line.name,
-                        later=int(m.headers.get("x-later-ms", 0)))  # fmt: skip
-        if line.stream is not None:
-            line.stream.send(sip.request("ACK", f"sip:{m.call_id}@net", "app", m.call_id, 1))
+    def answered(self, connection: Connection, message: sip.SipMessage) -> None:
+        self.event_log.record(
+            "answer", call=message.call_id, status=message.status, line=connection.name,
+            later=int(message.headers.get("x-later-ms", 0)),
+        )  # fmt: skip
+        if connection.stream is not None:
+            connection.stream.send(
+                sip.request("ACK", f"sip:{message.call_id}@net", "app", message.call_id, 1)
+            )
 
 
 def main() -> None:
@@ -137,17 +143,17 @@
     parser.add_argument("--number", dest="numbers", action="append", default=[])
     parser.add_argument("--patience-ms", type=int, default=3000)
     parser.add_argument("--surge", default="1:0:0", help="FACTOR:FROM:SECONDS")
-    parser.add_argument("--narrow", action="store_true", help="the surge comes on one connection")
-    g = parser.parse_args()
-    classes = {n: float(w) for n, w in (c.split("=") for c in g.classes)}
-    factor, since, length = map(float, g.surge.split(":"))
-    loop, ledger = Loop(), EventLog(g.ledger)
+    parser.add_argument("--narrow", action="store_true", help="calls of the surge use one connection")
+    arguments = parser.parse_args()
+    classes = {name: float(weight) for name, weight in (text.split("=") for text in arguments.classes)}
+    factor, surge_start_s, surge_s = map(float, arguments.surge.split(":"))
+    loop, event_log = Loop(), EventLog(arguments.ledger)
     app = StandInApplication(
-        loop, g.to, ledger, g.seed, g.lines, g.rate, g.seconds, classes, g.numbers, g.patience_ms,
-        (factor, since, length), g.narrow,
+        loop, arguments.to, event_log, arguments.seed, arguments.lines, arguments.rate, arguments.seconds,
+        classes, arguments.numbers, arguments.patience_ms, (factor, surge_start_s, surge_s), arguments.narrow,
     )  # fmt: skip
-    read_commands(loop, app.command)
-    run_until_sigterm(loop, ledger)
+    read_commands(loop, app.execute)
+    run_until_sigterm(loop, event_log)
 
 
 if __name__ == "__main__":
--- a/arrowrail/lab/bench.py
+++ b/arrowrail/lab/bench.py
@@ -1,6 +1,8 @@
-"""Benchmarks: what the checker, the limits and the sidecar cost.  Ratios in one run, never against a clock.
+"""Benchmarks: the cost of the checker, the limits and the sidecar.
 
-``python -m arrowrail bench`` (``make bench``).  Nothing here is a pass mark of the tests.
+Costs are compared as ratios within one run, not as absolute times, which depend on the machine.
+
+``python -m arrowrail bench`` (``make bench``).  The results are not pass criteria of any test.
 """
 
 from __future__ import annotations
@@ -32,14 +34,14 @@
 from arrowrail.state.timers import TimerQueue
 
 MS, S = 1_000_000, 1_000_000_000
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 # --- The checker ------------------------------------------------------------------------------------------
 
 
-def site(folder: Path, applications: int) -> int:
-    """A folder of that many applications over an inventory that grows with them; returns its lines."""
+def write_site(folder: Path, applications: int) -> int:
+    """Write that many applications and an inventory of proportional size; returns the number of lines."""
     exchanges = max(4, applications)
     lines = ['site: {label: "bench"}']
     lines += [f'district: "d{n}": numbers: ["{n}"]' for n in range(10)]
@@ -65,100 +67,101 @@
     return total
 
 
-def check_times(sizes: tuple[int, ...] = (10, 100, 1000)) -> Iterator[dict[str, Any]]:
+def measure_checker(sizes: tuple[int, ...] = (10, 100, 1000)) -> Iterator[dict[str, Any]]:
     for size in sizes:
         with tempfile.TemporaryDirectory() as name:
-            lines = site(Path(name), size)
-            began = time.perf_counter()
-            checked = check_folder(Path(name))
-            took = time.perf_counter() - began
-            if not checked.valid:
-                raise RuntimeError(next(iter(map(str, checked.diagnostics))))
-            yield {"applications": size, "lines": lines, "seconds": round(took, 3),
-                   "ms an application": round(1000 * took / size, 2)}  # fmt: skip
+            line_count = write_site(Path(name), size)
+            started = time.perf_counter()
+            result = check_folder(Path(name))
+            elapsed = time.perf_counter() - started
+            if not result.valid:
+                raise RuntimeError(next(iter(map(str, result.diagnostics))))
+            yield {"applications": size, "lines": line_count, "seconds": round(elapsed, 3),
+                   "ms an application": round(1000 * elapsed / size, 2)}  # fmt: skip
 
 
 # --- The cost of limits -----------------------------------------------------------------------------------
 
 
-class Quiet:
-    """A front and a back that answer at once, so that what is measured is what lies between."""
+class InstantSignalling:
+    """A frontend and backend without I/O, so that only the code between them is measured."""
 
     connections = 0
 
     def __init__(self, core: Core) -> None:
-        self.core, self.answers = core, 0
+        self.core, self.answer_count = core, 0
 
-    def respond(self, request: Request, answer: FinalResponse) -> None:
-        self.answers += 1
+    def respond(self, request: Request, response: FinalResponse) -> None:
+        self.answer_count += 1
 
     def release(self, request: Request, cause: int) -> None: ...
     def release_unknown(self, call: str, cause: int) -> None: ...
     def flushed(self) -> bool:
         return True
 
-    def endpoint_changed(self, desk: Endpoint) -> None: ...
-    def cancel_set_up(self, desk: Endpoint, call: str) -> None: ...
-    def set_up(self, desk: Endpoint, offer: SetUpParams, wait_ns: int) -> None:
+    def endpoint_changed(self, endpoint: Endpoint) -> None: ...
+    def cancel_set_up(self, endpoint: Endpoint, call: str) -> None: ...
+    def set_up(self, endpoint: Endpoint, params: SetUpParams, timeout_ns: int) -> None:
         self.core.timers.schedule(
-            self.core.now + MS, lambda: self.core.endpoint_answered(desk, offer.call_id, b"answer")
+            self.core.now + MS, lambda: self.core.endpoint_answered(endpoint, params.call_id, b"answer")
         )
         self.core.timers.schedule(
             self.core.now + 2 * MS,
-            lambda: self.core.endpoint_released(desk, offer.call_id, ReleaseOutcome("served"), 16),
+            lambda: self.core.endpoint_released(endpoint, params.call_id, ReleaseOutcome("served"), 16),
         )
 
 
-def core_with(folder: Path, limited: bool) -> tuple[Core, Quiet]:
-    checked = check_folder(folder)
-    c = build_config(checked.applications["app0"], checked.inventories["app0"])
-    core = Core(c.settings, 1, TimerQueue(S))
-    quiet = Quiet(core)
-    core.backends["binary"] = quiet  # type: ignore[assignment]
-    core.frontends.append(quiet)
-    admission = core.admission = SidecarAdmission(c, S)
+def build_core(folder: Path, limited: bool) -> tuple[Core, InstantSignalling]:
+    result = check_folder(folder)
+    config = build_config(result.applications["app0"], result.inventories["app0"])
+    core = Core(config.settings, 1, TimerQueue(S))
+    signalling = InstantSignalling(core)
+    core.backends["binary"] = signalling  # type: ignore[assignment]
+    core.frontends.append(signalling)
+    admission = core.admission = SidecarAdmission(config, S)
     if not limited:
-        admission.limiter = UnlimitedLimiter(c.limits, S)
-    core.update_endpoints(SIDECAR_SOURCE, False, admission.exchange_list.update_config(c.exchanges))
+        admission.limiter = UnlimitedLimiter(config.limits, S)
+    core.update_endpoints(SIDECAR_SOURCE, False, admission.exchange_list.update_config(config.exchanges))
     core.process_events()
-    return core, quiet
+    return core, signalling
 
 
-def calls(core: Core, quiet: Quiet, first: int, count: int) -> float:
-    """Processor time of that many calls, 40 ms apart, on eight connections."""
+def run_calls(core: Core, signalling: InstantSignalling, first: int, count: int) -> float:
+    """CPU time in seconds of that many calls, 40 ms apart, on eight connections."""
     gc.collect()
-    began = time.process_time()
+    started = time.process_time()
     for n in range(first, first + count):
         core.timers.now += 40 * MS
         core.timers.run_due()
-        offer = SetUpParams(f"{n:016x}", f"c{n % 3}", f"0{n % 10}", n, -1, 1, core.now + 3 * S, b"x")
-        core.submit(quiet, n % 8, offer)
+        params = SetUpParams(f"{n:016x}", f"c{n % 3}", f"0{n % 10}", n, -1, 1, core.now + 3 * S, b"x")
+        core.submit(signalling, n % 8, params)
         core.process_events()
-    return time.process_time() - began
+    return time.process_time() - started
 
 
-def limits_cost(rounds: int = 20, count: int = 500) -> dict[str, Any]:
+def measure_limits(rounds: int = 20, count: int = 500) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as name:
-        site(Path(name), 4)
-        sides = [core_with(Path(name), limited) for limited in (True, False)]
-    took: list[list[float]] = [[], []]
-    for at in range(rounds):
-        for side in (0, 1) if at % 2 else (1, 0):
-            took[side].append(calls(*sides[side], at * count, count))
-    for core, quiet in sides:
-        if core.internal_errors or quiet.answers < (rounds - 1) * count:
-            raise RuntimeError("calls went unanswered")
-    ratios = [a / b for a, b in zip(*took, strict=True)]
+        write_site(Path(name), 4)
+        sides = [build_core(Path(name), limited) for limited in (True, False)]
+    times: list[list[float]] = [[], []]
+    for number in range(rounds):
+        for side in (0, 1) if number % 2 else (1, 0):
+            times[side].append(run_calls(*sides[side], number * count, count))
+    for core, signalling in sides:
+        if core.internal_errors or signalling.answer_count < (rounds - 1) * count:
+            raise RuntimeError("some calls were not answered")
+    ratios = [a / b for a, b in zip(*times, strict=True)]
     return {
-        "us a call with limits": round(1e6 * statistics.median(took[0]) / count, 1),
-        "us a call without": round(1e6 * statistics.median(took[1]) / count, 1),
+        "us a call with limits": round(1e6 * statistics.median(times[0]) / count, 1),
+        "us a call without": round(1e6 * statistics.median(times[1]) / count, 1),
         "ratio between core and admission": round(statistics.median(ratios), 3),
     }
 
 
-def processor_s(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
+    """User and system CPU time of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
 def resident_mb(pid: int) -> float:
@@ -166,7 +169,7 @@
     return int(text.split("VmRSS:")[1].split()[0]) / 1024
 
 
-GROUP = """  group: {{
+GROUP_SECTION = """  group: {{
     group: "bench"
     me: "{app}"
     listen: "127.0.0.1:{port}"
@@ -179,8 +182,8 @@
 """
 
 
-def on_sockets(what: str = "limits", seconds: float = 20.0, rate: float = 150.0) -> dict[str, Any]:
-    """Two sidecars side by side, one without limits (or a group), under the same load on real sockets."""
+def measure_on_sockets(what: str = "limits", seconds: float = 20.0, rate: float = 150.0) -> dict[str, Any]:
+    """Compare two sidecars under the same load on real sockets, one of them without limits or a group."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         conf = folder / "conf"
@@ -198,7 +201,7 @@
                 f'  listen: sip: "127.0.0.1:{ports[2 + n]}"\n'
                 "  serves: [district.d]\n  calls: c: {give_up: 3s, time_out: 1300ms, pools: d: pool.p}\n"
                 "  limits: {open: 1000, rate: 1000/s}\n"
-                + (GROUP.format(app=app, port=ports[2]) if what == "group" and app == "with" else "")
+                + (GROUP_SECTION.format(app=app, port=ports[2]) if what == "group" and app == "with" else "")
                 + "}\n"
             )
         with ProcessManager(folder) as processes:
@@ -222,7 +225,7 @@
                 processes.start("without", "arrowrail.lab.unlimited", "without", str(conf))
             for port in ports:
                 wait_until(lambda p=port: is_listening(p), f"port {port}")  # type: ignore[misc]
-            before = {app: processor_s(processes.running[app].pid) for app in ("with", "without")}
+            before = {app: cpu_seconds(processes.running[app].pid) for app in ("with", "without")}
             for n, app in enumerate(("with", "without")):
                 processes.start(
                     f"app-{app}",
@@ -245,12 +248,12 @@
                     str(n),
                 )
             time.sleep(seconds + 1.5)
-            used = {a: processor_s(processes.running[a].pid) - before[a] for a in before}
-            memory = {a: round(resident_mb(processes.running[a].pid), 1) for a in before}
-        count = {a: (folder / f"{a}.jsonl").read_bytes().count(b'"status":200') for a in before}
-    cost = {a: 1e6 * used[a] / max(1, count[a]) for a in before}
+            cpu_used_s = {app: cpu_seconds(processes.running[app].pid) - before[app] for app in before}
+            memory = {app: round(resident_mb(processes.running[app].pid), 1) for app in before}
+        answer_count = {app: (folder / f"{app}.jsonl").read_bytes().count(b'"status":200') for app in before}
+    cost = {app: 1e6 * cpu_used_s[app] / max(1, answer_count[app]) for app in before}
     return {
-        "calls that stood": count,
+        "calls that stood": answer_count,
         f"us a call with {what}": round(cost["with"]),
         "us a call without": round(cost["without"]),
         "ratio on sockets": round(cost["with"] / cost["without"], 3),
@@ -258,11 +261,11 @@
     }
 
 
-# --- Memory of plain run ----------------------------------------------------------------------------------
+# --- Memory of the plain controller -----------------------------------------------------------------------
 
 
 def run_memory(root: Path) -> float:
-    """Resident MB of a controller as the platform starts it, idle, from the sources under ``root``."""
+    """Resident memory in MB of an idle controller, started from ``root`` in the way the platform does."""
     with tempfile.TemporaryDirectory() as name:
         config = json.loads((ROOT / "examples" / "config.json").read_text())
         port = free_ports(1)[0]
@@ -281,22 +284,24 @@
             child.wait(20)
 
 
-def memory(before: str) -> dict[str, Any]:
-    found: dict[str, Any] = {"plain run, MB": run_memory(ROOT)}
-    if before:
-        raw = subprocess.run(["git", "archive", before], cwd=ROOT, capture_output=True, check=True).stdout
+def measure_memory(commit: str) -> dict[str, Any]:
+    results: dict[str, Any] = {"plain run, MB": run_memory(ROOT)}
+    if commit:
+        archive_data = subprocess.run(
+            ["git", "archive", commit], cwd=ROOT, capture_output=True, check=True
+        ).stdout
         with tempfile.TemporaryDirectory() as name:
-            with tarfile.open(fileobj=io.BytesIO(raw)) as archive:
+            with tarfile.open(fileobj=io.BytesIO(archive_data)) as archive:
                 archive.extractall(name, filter="data")
-            found[f"plain run at {before}, MB"] = run_memory(Path(name))
-    return found
+            results[f"plain run at {commit}, MB"] = run_memory(Path(name))
+    return results
 
 
 def run(before: str) -> Iterator[tuple[str, Any]]:
-    yield "check", list(check_times())
-    yield "limits, no sockets", limits_cost()
-    yield "limits, on sockets", on_sockets()
-    yield "duties, on sockets", on_sockets("group")
-    yield "memory", memory(before)
+    yield "check", list(measure_checker())
+    yield "limits, no sockets", measure_limits()
+    yield "limits, on sockets", measure_on_sockets()
+    yield "duties, on sockets", measure_on_sockets("group")
+    yield "memory", measure_memory(before)
     yield "a death's duties", [movement(size) for size in (5, 50, 500)]
     yield "group, simulated", [traffic(5, 10_000, 10), traffic(50, 50, 30), traffic(150, 50, 5)]
--- a/arrowrail/lab/bus.py
+++ b/arrowrail/lab/bus.py
@@ -1,7 +1,8 @@
-"""A stand-in event bus: numbered events over server-sent events, told from its standard input.
+"""A stand-in event bus: sends numbered events as server-sent events.
 
-``python -m arrowrail.lab.bus --listen ADDRESS --ledger FILE``; each line of its input is a list of targets as
-JSON, which becomes the next event.  A reader that names the last event it holds is sent those behind it.
+``python -m arrowrail.lab.bus --listen ADDRESS --ledger FILE``; each line of its standard input is a list of
+targets as JSON, which is published as the next event.  A subscriber that gives the number of the last event
+it has received is sent the later ones.
 """
 
 from __future__ import annotations
@@ -19,73 +20,81 @@
 from arrowrail.wire.listener import Listener
 from arrowrail.wire.stream import Stream
 
-COMMENT_NS = 1_000 * MS
-MAX_HEAD = 16 * 1024
+KEEPALIVE_NS = 1_000 * MS
+MAX_HEADER_SIZE = 16 * 1024
 
 
-class Reader:
+class Subscriber:
+    """A connection that reads the event stream."""
+
     def __init__(self, bus: StandInBus, sock: socket.socket) -> None:
-        self.bus, self.head, self.reads = bus, b"", False
+        self.bus, self.header, self.subscribed = bus, b"", False
         self.stream = Stream(bus.loop, sock, self)
 
     def connected(self) -> None:
         pass
 
     def received(self, data: bytes) -> None:
-        self.head += data
-        if self.reads or b"\r\n\r\n" not in self.head:
-            if len(self.head) > MAX_HEAD:
+        self.header += data
+        if self.subscribed or b"\r\n\r\n" not in self.header:
+            if len(self.header) > MAX_HEADER_SIZE:
                 self.stream.close()
             return
-        lines = self.head.lower().split(b"\r\n")
-        last = next((int(p.split(b":")[1]) for p in lines if p.startswith(b"last-event-id:")), 0)
-        self.reads = True
+        header_lines = self.header.lower().split(b"\r\n")
+        last_event_id = next(
+            (int(line.split(b":")[1]) for line in header_lines if line.startswith(b"last-event-id:")), 0
+        )
+        self.subscribed = True
         self.stream.send(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n")
         for event in self.bus.events:
-            if event["offset"] > last:
-                self.tell(event)
-        self.bus.readers.append(self)
+            if event["offset"] > last_event_id:
+                self.send_event(event)
+        self.bus.subscribers.append(self)
 
-    def tell(self, event: dict[str, Any]) -> None:
+    def send_event(self, event: dict[str, Any]) -> None:
         self.stream.send(b"id: %d\ndata: %s\n\n" % (event["offset"], orjson.dumps(event)))
 
-    def lost(self, _why: OSError | None) -> None:
-        if self in self.bus.readers:
-            self.bus.readers.remove(self)
+    def lost(self, _error: OSError | None) -> None:
+        if self in self.bus.subscribers:
+            self.bus.subscribers.remove(self)
 
 
 class StandInBus:
-    def __init__(self, loop: Loop, address: str, ledger: EventLog, first: int = 1) -> None:
-        self.loop, self.ledger, self.first = loop, ledger, first
+    """Publishes events to all subscribers, and keeps them for later ones."""
+
+    def __init__(self, loop: Loop, address: str, event_log: EventLog, first_number: int = 1) -> None:
+        self.loop, self.event_log, self.first_number = loop, event_log, first_number
         self.events: list[dict[str, Any]] = []
-        self.readers: list[Reader] = []
-        self.listener = Listener(loop, address, lambda s: Reader(self, s), lambda: True, lambda: False)
-        self._comment()
+        self.subscribers: list[Subscriber] = []
+        self.listener = Listener(
+            loop, address, lambda sock: Subscriber(self, sock), lambda: True, lambda: False
+        )
+        self._send_keepalive()
 
     def publish(self, targets: list[dict[str, Any]]) -> None:
-        number = len(self.events) + self.first
+        number = len(self.events) + self.first_number
         event = {"offset": number, "topology": {"rev": number, "all": number == 1, "targets": targets}}
         self.events.append(event)
-        self.ledger.record("told", offset=number, targets=targets)
-        for reader in list(self.readers):
-            reader.tell(event)
+        self.event_log.record("told", offset=number, targets=targets)
+        for subscriber in list(self.subscribers):
+            subscriber.send_event(event)
 
-    def _comment(self) -> None:
-        for reader in list(self.readers):
-            reader.stream.send(b": \n\n")
-        self.loop.timers.schedule(self.loop.now + COMMENT_NS, self._comment)
+    def _send_keepalive(self) -> None:
+        for subscriber in list(self.subscribers):
+            subscriber.stream.send(b": \n\n")
+        self.loop.timers.schedule(self.loop.now + KEEPALIVE_NS, self._send_keepalive)
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--listen", required=True)
     parser.add_argument("--ledger", required=True)
-    parser.add_argument("--first", type=int, default=1, help="the number of the first event")
-    g = parser.parse_args()
-    loop, ledger = Loop(), EventLog(g.ledger)
-    bus = StandInBus(loop, g.listen, ledger, g.first)
+    parser.add_argument("--first", type=int, default=1, help="number of the first event")
+    arguments = parser.parse_args()
+    loop, event_log = Loop(), EventLog(arguments.ledger)
+    bus = StandInBus(loop, arguments.listen, event_log, arguments.first)
     read_commands(loop, bus.publish)
-    run_until_sigterm(loop, ledger)
+    run_until_sigterm(loop, event_log)
 
 
 if __name__ == "__main__":
--- a/arrowrail/lab/checks.py
+++ b/arrowrail/lab/checks.py
@@ -1,7 +1,7 @@
-"""The rules, judged from ledgers: what callers sent and heard, and what exchanges received.
+"""Checks of a drill's rules on event logs: what callers sent and received, and what exchanges received.
 
-No figure of the program itself is read.  Times are Unix times of several processes on one machine; ``SLACK``
-covers what lies between a socket and a ledger's line.
+No log or counter of the program itself is read.  Times are Unix times in ns from several processes on one
+machine; ``TOLERANCE_NS`` covers the delay between a socket operation and its record in the event log.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 Event = Mapping[str, Any]
 MS = 1_000_000
-SLACK = 60 * MS
-MAX_CALL_TIME = 3_500 * MS  # of the drills' callers
+TOLERANCE_NS = 60 * MS
+MAX_CALL_TIME_NS = 3_500 * MS  # longest time from a request to its answer in the drills
 
 
 @dataclass(slots=True)
 class CheckReport:
-    """What was found; ``broken`` names each breach with its call or exchange."""
+    """Result of the checks; each violation names its call or exchange."""
 
     violations: list[str] = field(default_factory=list)
     metrics: dict[str, Any] = field(default_factory=dict)
@@ -32,36 +32,38 @@
 
 @dataclass(slots=True)
 class Attempt:
+    """One set-up at an exchange, as the exchange recorded it."""
+
     exchange: str
-    began: int
-    ended: int = 0  # 0: no end was seen there
-    how: str = ""
+    started_ns: int
+    ended_ns: int = 0  # 0: the exchange recorded no end
+    outcome: str = ""
 
 
 def check_single_answer(
-    report: CheckReport, name: str, lines: Iterable[Event], nobody_from: int = 0
+    report: CheckReport, name: str, events: Iterable[Event], app_killed_ns: int = 0
 ) -> dict[str, list[Event]]:
-    """Each call gets exactly one final answer; none is owed on a connection that was lost.
+    """Check that each call gets exactly one final answer; none is required on a lost connection.
 
-    ``nobody_from``: when the application itself died, so that nobody heard what was answered after it.
+    ``app_killed_ns``: the time at which the application was killed, since answers after it are not recorded.
     """
     sent: dict[str, Event] = {}
     answers: dict[str, list[Event]] = defaultdict(list)
-    lost: set[str] = set()
-    for line in lines:
-        if line["what"] == "sent":
-            sent[line["call"]] = line
-        elif line["what"] == "answer":
-            answers[line["call"]].append(line)
-        elif line["what"] == "lost":
-            lost.add(line["line"])
-        elif line["what"] == "unreadable":
-            report.violations.append(f"{name}: an unreadable answer: {line['why']}")
-    for call, line in sent.items():
-        count = len(answers[call])
-        report.expect(count <= 1, f"{name}: call {call} got {count} answers")
-        unheard = nobody_from and line["t"] > nobody_from - MAX_CALL_TIME
-        if count == 0 and line["line"] not in lost and not unheard:
+    lost_connections: set[str] = set()
+    for event in events:
+        if event["what"] == "sent":
+            sent[event["call"]] = event
+        elif event["what"] == "answer":
+            answers[event["call"]].append(event)
+        elif event["what"] == "lost":
+            lost_connections.add(event["line"])
+        elif event["what"] == "unreadable":
+            report.violations.append(f"{name}: an unreadable answer: {event['why']}")
+    for call, event in sent.items():
+        answer_count = len(answers[call])
+        report.expect(answer_count <= 1, f"{name}: call {call} got {answer_count} answers")
+        unrecorded = app_killed_ns and event["t"] > app_killed_ns - MAX_CALL_TIME_NS
+        if answer_count == 0 and event["line"] not in lost_connections and not unrecorded:
             report.violations.append(f"{name}: call {call} got no answer")
     for call in answers:
         report.expect(
@@ -70,85 +72,104 @@
     return {call: answers[call] for call in sent}
 
 
-def collect_attempts(ledgers: Mapping[str, Iterable[Event]]) -> dict[str, list[Attempt]]:
-    """By call, every set-up that reached an exchange, in the order of time."""
-    found: dict[str, list[Attempt]] = defaultdict(list)
-    for exchange, lines in ledgers.items():
-        out: dict[str, Attempt] = {}
-        for line in lines:
-            call = line.get("call", "")
-            if line["what"] == "set_up":
-                out[call] = Attempt(exchange, line["t"])
-                found[call].append(out[call])
-            elif line["what"] in ("refused", "answered", "released", "dropped", "over") and call in out:
-                attempt = out[call]
-                if not attempt.ended:
-                    attempt.ended, attempt.how = line["t"], line["what"]
-    for attempts_ in found.values():
-        attempts_.sort(key=lambda a: a.began)
-    return found
+def collect_attempts(events_by_exchange: Mapping[str, Iterable[Event]]) -> dict[str, list[Attempt]]:
+    """All set-ups that reached an exchange, by call and in order of time."""
+    by_call: dict[str, list[Attempt]] = defaultdict(list)
+    for exchange, events in events_by_exchange.items():
+        current: dict[str, Attempt] = {}
+        for event in events:
+            call = event.get("call", "")
+            if event["what"] == "set_up":
+                current[call] = Attempt(exchange, event["t"])
+                by_call[call].append(current[call])
+            elif event["what"] in ("refused", "answered", "released", "dropped", "over") and call in current:
+                attempt = current[call]
+                if not attempt.ended_ns:
+                    attempt.ended_ns, attempt.outcome = event["t"], event["what"]
+    for attempts in by_call.values():
+        attempts.sort(key=lambda attempt: attempt.started_ns)
+    return by_call
 
 
 def check_attempts(
     report: CheckReport,
     by_call: Mapping[str, list[Attempt]],
-    most: int,
+    max_attempts: int,
     pause_ns: int,
-    excused: Iterable[str],
+    exempt_calls: Iterable[str],
 ) -> None:
-    """At most so many attempts, never two at once, and the pause after one that was given up or cut.
+    """Check the number of attempts, that they never overlap, and the pause after an abandoned or lost one.
 
-    ``excused``: calls whose sidecar was killed, so that their ends prove nothing.
+    ``exempt_calls``: calls of a sidecar that was killed; when their attempts end proves nothing.
     """
-    passed_over = set(excused)
-    for call, made in by_call.items():
-        report.expect(len(made) <= most, f"call {call} had {len(made)} attempts")
-        if call in passed_over:
+    exempt = set(exempt_calls)
+    for call, attempts in by_call.items():
+        report.expect(len(attempts) <= max_attempts, f"call {call} had {len(attempts)} attempts")
+        if call in exempt:
             continue
-        for before, after in pairwise(made):
-            if not before.ended or before.ended > after.began + SLACK:
-                report.violations.append(f"call {call}: two attempts at once, at {before.exchange} and "
-                                      f"{after.exchange}")  # fmt: skip
-            elif before.how in ("released", "dropped") and after.began - before.ended < pause_ns - SLACK:
-                report.violations.append(f"call {call}: only {(after.began - before.ended) // MS} ms after a "
-                                      "set-up that was given up")  # fmt: skip
+        for before, after in pairwise(attempts):
+            if not before.ended_ns or before.ended_ns > after.started_ns + TOLERANCE_NS:
+                report.violations.append(
+                    f"call {call}: two attempts at once, at {before.exchange} and {after.exchange}"
+                )
+            elif (
+                before.outcome in ("released", "dropped")
+                and after.started_ns - before.ended_ns < pause_ns - TOLERANCE_NS
+            ):
+                report.violations.append(
+                    f"call {call}: only {(after.started_ns - before.ended_ns) // MS} ms after a set-up "
+                    "that was abandoned"
+                )
 
 
 def check_no_new_calls(
-    report: CheckReport, exchange: str, lines: Iterable[Event], told: int, grace_ns: int, until: int = 0
+    report: CheckReport,
+    exchange: str,
+    events: Iterable[Event],
+    drained_ns: int,
+    grace_ns: int,
+    until_ns: int = 0,
 ) -> None:
-    """After the grace that follows a drain, nothing new reaches the exchange (until it is back)."""
-    for line in lines:
-        late = line["t"] > told + grace_ns + SLACK and (not until or line["t"] < until)
-        if line["what"] == "set_up" and late:
+    """Check that no set-up reaches an exchange after its drain grace period (until it is back in service)."""
+    for event in events:
+        late = event["t"] > drained_ns + grace_ns + TOLERANCE_NS and (not until_ns or event["t"] < until_ns)
+        if event["what"] == "set_up" and late:
             report.violations.append(
-                f"{exchange}: call {line['call']} came {(line['t'] - told) // MS} ms after the drain was told"
+                f"{exchange}: call {event['call']} came {(event['t'] - drained_ns) // MS} ms after the drain "
+                "was announced"
             )
 
 
 def established_share(
-    calls: Mapping[str, list[Event]], lines: Iterable[Event], since: int, until: int
+    calls: Mapping[str, list[Event]], events: Iterable[Event], since_ns: int, until_ns: int
 ) -> tuple[float, int]:
-    """Of the calls sent in a span of time, the share that stood, and how many they were."""
-    sent = [line["call"] for line in lines if line["what"] == "sent" and since <= line["t"] < until]
-    stood = sum(1 for call in sent if any(a["status"] == 200 for a in calls.get(call, ())))
-    return (stood / len(sent) if sent else 1.0), len(sent)
+    """The share of the calls sent within a time span that were established, and the number of these calls."""
+    sent = [
+        event["call"] for event in events if event["what"] == "sent" and since_ns <= event["t"] < until_ns
+    ]
+    established = sum(1 for call in sent if any(a["status"] == 200 for a in calls.get(call, ())))
+    return (established / len(sent) if sent else 1.0), len(sent)
 
 
 def check_release_notified(
     report: CheckReport,
     name: str,
-    ledgers: Mapping[str, Iterable[Event]],
-    apps: Iterable[Event],
+    events_by_exchange: Mapping[str, Iterable[Event]],
+    app_events: Iterable[Event],
     calls: Mapping[str, list[Event]],
-    within_ns: int,
-    end: int,
+    limit_ns: int,
+    end_ns: int,
 ) -> None:
-    """What stood and is over is told to its caller."""
-    byes = {line["call"] for line in apps if line["what"] == "bye"}
-    for lines in ledgers.values():
-        for line in lines:
-            call = line.get("call", "")
-            stood = any(a["status"] == 200 for a in calls.get(call, ()))
-            if line["what"] == "over" and stood and call not in byes and line["t"] + within_ns < end:
-                report.violations.append(f"{name}: call {call} was over and its caller never told")
+    """Check that the caller of an established call that ended at its exchange gets a BYE within the limit."""
+    byes = {event["call"] for event in app_events if event["what"] == "bye"}
+    for events in events_by_exchange.values():
+        for event in events:
+            call = event.get("call", "")
+            established = any(a["status"] == 200 for a in calls.get(call, ()))
+            if (
+                event["what"] == "over"
+                and established
+                and call not in byes
+                and event["t"] + limit_ns < end_ns
+            ):
+                report.violations.append(f"{name}: call {call} ended and its caller was never told")
--- a/arrowrail/lab/commands.py
+++ b/arrowrail/lab/commands.py
@@ -1,4 +1,4 @@
-"""Commands to a stand-in process: one JSON value a line on its standard input."""
+"""Main loop of a stand-in program, and its commands: one JSON value per line on standard input."""
 
 from __future__ import annotations
 
@@ -16,41 +16,41 @@
 from arrowrail.loop import READ, Loop
 
 CHUNK = 64 * 1024
-TICK_NS = 20 * MS  # between two looks at the clock, so that a late machine is noticed
-LATE_NS = 40 * MS  # a turn that comes later than this after its time is written down
+TICK_NS = 20 * MS  # interval of the timer by which delayed scheduling is detected
+LATE_NS = 40 * MS  # an iteration that is later than this is recorded
 
 
-def read_commands(loop: Loop, carry_out: Callable[[Any], None]) -> None:
-    """Hand each line of the standard input, decoded, to ``carry_out``."""
-    rest = bytearray()
+def read_commands(loop: Loop, handle_command: Callable[[Any], None]) -> None:
+    """Pass each line of standard input, decoded from JSON, to ``handle_command``."""
+    buffer = bytearray()
 
-    def ready(_mask: int) -> None:
+    def on_readable(_mask: int) -> None:
         data = os.read(0, CHUNK)
         if not data:
             loop.unwatch(sys.stdin)
-        rest.extend(data)
-        while b"\n" in rest:
-            line, _, after = bytes(rest).partition(b"\n")
-            rest[:] = after
-            carry_out(orjson.loads(line))
+        buffer.extend(data)
+        while b"\n" in buffer:
+            line, _, remainder = bytes(buffer).partition(b"\n")
+            buffer[:] = remainder
+            handle_command(orjson.loads(line))
 
-    loop.watch(sys.stdin, READ, ready)
+    loop.watch(sys.stdin, READ, on_readable)
 
 
-def run_until_sigterm(loop: Loop, ledger: EventLog) -> None:
-    """Turn the loop until SIGTERM; the ledger is written after each turn.
+def run_until_sigterm(loop: Loop, event_log: EventLog) -> None:
+    """Run the event loop until SIGTERM; the event log is flushed after each iteration.
 
-    A turn that comes late, since the machine is busy, stands in the ledger as ``late`` with its delay: a
-    judge can tell a late machine from a late program by it.
+    An iteration that is delayed because the machine is busy is recorded as ``late`` with its delay, so that
+    checks can tell a slow machine from a slow program.
     """
-    told: list[int] = []
-    signal.signal(signal.SIGTERM, lambda number, _: told.append(number))
-    ledger.flush()
-    while not told:
-        due = time.monotonic_ns() + TICK_NS
+    received_signals: list[int] = []
+    signal.signal(signal.SIGTERM, lambda signal_number, _: received_signals.append(signal_number))
+    event_log.flush()
+    while not received_signals:
+        due_ns = time.monotonic_ns() + TICK_NS
         loop.timers.schedule(loop.now + TICK_NS, lambda: None)
         loop.run_once()
-        delay = time.monotonic_ns() - due
-        if delay > LATE_NS:
-            ledger.record("late", ms=delay // MS)
-        ledger.flush()
+        delay_ns = time.monotonic_ns() - due_ns
+        if delay_ns > LATE_NS:
+            event_log.record("late", ms=delay_ns // MS)
+        event_log.flush()
--- a/arrowrail/lab/drills/__init__.py
+++ b/arrowrail/lab/drills/__init__.py
@@ -1,4 +1,4 @@
-"""Drills by name: each plays the hard cases of one part with real processes, and judges what was seen."""
+"""Drills by name: each runs fault scenarios of one component with real processes, and checks the results."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 DRILLS = {
     "sidecar": "three sidecars, their applications and exchanges: surge, drain, reload, kills",
-    "soak": "short, dense fault trials of controllers, one a seed, judged by all rules",
-    "duties": "instances that share the probing of exchanges: kill, hang, split, a key rolled",
+    "soak": "short trials of controllers with many faults, one per seed, checked against all rules",
+    "duties": "instances that share the probing of exchanges: kill, hang, partition, key rotation",
 }
 
 
 @dataclass(slots=True)
 class DrillResult:
-    """A drill's result; it has passed where nothing is broken."""
+    """Result of a drill; it has passed if there are no violations."""
 
     name: str
     seed: int
@@ -38,7 +38,7 @@
 
 
 def load_drill(name: str) -> DrillFunction:
-    """``KeyError`` for a name that is none."""
+    """Import a drill by its name; ``KeyError`` for an unknown one."""
     if name not in DRILLS:
         raise KeyError(name)
     run_drill: DrillFunction = import_module(f"arrowrail.lab.drills.{name}").run_drill
--- a/arrowrail/lab/drills/duties.py
+++ b/arrowrail/lab/drills/duties.py
@@ -1,9 +1,9 @@
-"""The duties drill: instances that share the probing of stand-in exchanges, through kills, hangs and splits.
+"""The duties drill: instances that share the probing of stand-in exchanges, with kills, hangs and partitions.
 
-Real processes: each instance is a sidecar of its own with a group; between any two of them stands a relay
-that passes datagrams on, loses some, and can split the group.  Judged by what the exchanges saw: each is
-probed once a period by one instance, never twice, and again within the stated bound after its prober was
-killed, hung or cut off.
+Each instance is a sidecar process with a group; datagrams between any two of them go through a relay that
+drops some and can partition the group.  The probes that the exchanges received are checked: each exchange is
+probed once per period by one instance, never twice, and again within the stated bound after its prober was
+killed, hung or isolated.
 """
 
 from __future__ import annotations
@@ -28,13 +28,16 @@
 LEASE = 2 * S
 KEYS = {"1": "00112233445566778899aabbccddeeff", "2": "ffeeddccbbaa99887766554433221100"}
 EXCHANGES = 6
-DETECT = 8 * S  # a probe of the dead, its suspicion, and the rumour of its death
-# Detection, the lease of the dead, a few rounds of asking, and a whole period that the new holder waits.
-BOUND = DETECT + LEASE + 3 * S + PERIOD + PERIOD // 2
-CLOSEST = PERIOD * 6 // 10  # two probes of one exchange nearer than this are doubled
+DETECTION = 8 * S  # the probe of a dead instance, its suspicion, and the spread of the news of its death
+# Detection, the lease of the dead instance, a few attempts to acquire it, and the full period that the new
+# holder waits.
+MAX_PROBE_GAP = DETECTION + LEASE + 3 * S + PERIOD + PERIOD // 2
+MIN_PROBE_GAP = PERIOD * 6 // 10  # two probes of one exchange within a shorter time count as duplicates
 
 
-class Stage:
+class DutiesDrill:
+    """Starts the processes, injects the faults and keeps their times."""
+
     def __init__(self, instances: int, seed: int, folder: Path) -> None:
         self.random = random.Random(seed)
         self.folder, self.names = folder, [f"n{i}" for i in range(instances)]
@@ -42,48 +45,50 @@
         ports = free_ports(len(self.exchanges) + 3 * instances)
         self.exchange_port = dict(zip(self.exchanges, ports, strict=False))
         rest = ports[len(self.exchanges) :]
-        self.sip = dict(zip(self.names, rest, strict=False))
-        self.udp = dict(zip(self.names, rest[instances:], strict=False))
-        self.front = dict(zip(self.names, rest[2 * instances :], strict=False))  # the relay's, one each
+        self.sip_port = dict(zip(self.names, rest, strict=False))
+        self.udp_port = dict(zip(self.names, rest[instances:], strict=False))
+        self.relay_port = dict(
+            zip(self.names, rest[2 * instances :], strict=False)
+        )  # where the relay listens
         self.processes = ProcessManager(folder)
-        self.breaks: list[tuple[str, int]] = []  # what befell whom, and when it began
-        self.told: dict[str, int] = {}
+        self.faults: list[tuple[str, int]] = []  # description and start time
+        self.timestamps: dict[str, int] = {}
 
     def set_up(self) -> None:
         conf = self.folder / "conf"
         conf.mkdir()
         lines = ['site: {label: "drill"}', 'district: d: numbers: ["0"]',
                  "class: c: {worth: 1, wanted: 2s, give_up: 9s}"]  # fmt: skip
-        lines += [f'exchange: {e}: {{district: district.d, address: "127.0.0.1:{self.exchange_port[e]}"}}'
-                  for e in self.exchanges]  # fmt: skip
-        lines.append(f"pool: p: exchanges: [{', '.join(f'exchange.{e}' for e in self.exchanges)}]")
+        lines += [
+            f'exchange: {name}: {{district: district.d, address: "127.0.0.1:{self.exchange_port[name]}"}}'
+            for name in self.exchanges
+        ]
+        lines.append(f"pool: p: exchanges: [{', '.join(f'exchange.{name}' for name in self.exchanges)}]")
         (conf / "inventory.rail").write_text("\n".join(lines) + "\n")
         for name in self.names:
             (self.folder / f"memory-{name}").mkdir()
-            (conf / f"{name}.rail").write_text(self._application(name, 1))
-        for e in self.exchanges:
+            (conf / f"{name}.rail").write_text(self._application_config(name, 1))
+        for exchange in self.exchanges:
             self.processes.start(
-                e,
-                "arrowrail.lab.exchange",
-                "--listen",
-                f"127.0.0.1:{self.exchange_port[e]}",
-                "--ledger",
-                str(self.folder / f"{e}.jsonl"),
-            )
-        routes = [f"{n}={self.front[n]}={self.udp[n]}" for n in self.names]
-        self.processes.start("relay", "arrowrail.lab.relay", "--seed", str(self.random.randrange(1 << 30)),
-                        "--loss", "0.02", *routes)  # fmt: skip
-        for e in self.exchanges:
-            wait_until(lambda e=e: is_listening(self.exchange_port[e]), e)  # type: ignore[misc]
+                exchange, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{self.exchange_port[exchange]}",
+                "--ledger", str(self.folder / f"{exchange}.jsonl"),
+            )  # fmt: skip
+        routes = [f"{n}={self.relay_port[n]}={self.udp_port[n]}" for n in self.names]
+        self.processes.start(
+            "relay", "arrowrail.lab.relay", "--seed", str(self.random.randrange(1 << 30)), "--loss", "0.02",
+            *routes,
+        )  # fmt: skip
+        for exchange in self.exchanges:
+            wait_until(lambda name=exchange: is_listening(self.exchange_port[name]), exchange)  # type: ignore[misc]
         for name in self.names:
             self.start(name)
 
-    def _application(self, name: str, key: int) -> str:
-        members = ", ".join(f'{n}: "127.0.0.1:{self.front[n]}"' for n in self.names)
+    def _application_config(self, name: str, key: int) -> str:
+        members = ", ".join(f'{n}: "127.0.0.1:{self.relay_port[n]}"' for n in self.names)
         keys = ", ".join(f'"{n}": "{text}"' for n, text in KEYS.items())
         return f"""include "inventory.rail"
 application: {name}: {{
-  listen: sip: "127.0.0.1:{self.sip[name]}"
+  listen: sip: "127.0.0.1:{self.sip_port[name]}"
   serves: [district.d]
   calls: c: {{give_up: 3s, time_out: 1300ms, pools: d: pool.p}}
   limits: {{open: 100, rate: 50/s}}
@@ -91,8 +96,8 @@
   group: {{
     group: "drill"
     me: "{name}"
-    listen: "127.0.0.1:{self.front[name]}"
-    bind: "127.0.0.1:{self.udp[name]}"
+    listen: "127.0.0.1:{self.relay_port[name]}"
+    bind: "127.0.0.1:{self.udp_port[name]}"
     members: {{{members}}}
     keys: {{{keys}}}
     send_key: {key}
@@ -107,100 +112,104 @@
 
     def start(self, name: str) -> None:
         self.processes.start(name, "arrowrail", "sidecar", name, "--config", str(self.folder / "conf"))
-        wait_until(lambda: is_listening(self.sip[name]), name)
+        wait_until(lambda: is_listening(self.sip_port[name]), name)
 
-    def relay(self, **what: Any) -> None:
-        self.processes.send_line("relay", orjson.dumps(what))
+    def command_relay(self, **command: Any) -> None:
+        self.processes.send_line("relay", orjson.dumps(command))
 
-    def hold(self, seconds: float) -> None:
+    def sleep(self, seconds: float) -> None:
         time.sleep(seconds)
 
-    def play(self) -> None:
-        self.hold(14.0)  # the group finds itself, and every exchange has a prober
-        self.told["steady"] = time.time_ns()
-        self.hold(8.0)
+    def run_scenario(self) -> None:
+        self.sleep(14.0)  # the members find one another, and every exchange has a prober
+        self.timestamps["steady"] = time.time_ns()
+        self.sleep(8.0)
         names = list(self.names)
         self.random.shuffle(names)
-        killed, hung, cut = names[0], names[1], names[2 % len(names)]
-        self.breaks.append((f"kill {killed}", time.time_ns()))
+        killed, hung, isolated = names[0], names[1], names[2 % len(names)]
+        self.faults.append((f"kill {killed}", time.time_ns()))
         self.processes.kill(killed)
-        self.hold(BOUND / S)
+        self.sleep(MAX_PROBE_GAP / S)
         self.start(killed)
-        self.breaks.append((f"hang {hung}", time.time_ns()))
+        self.faults.append((f"hang {hung}", time.time_ns()))
         self.processes.send_signal(hung, signal.SIGSTOP)
-        self.hold(10.0)
+        self.sleep(10.0)
         self.processes.send_signal(hung, signal.SIGCONT)
-        self.hold(4.0)
-        # A key is rolled in service meanwhile: some send under the new one, some under the old.
+        self.sleep(4.0)
+        # The key is rotated during operation: some instances send with the new key, some with the old one.
         for name in names[: len(names) // 2 + 1]:
             path = self.folder / "conf" / f"{name}.rail"
             temporary = path.with_suffix(".new")
-            temporary.write_text(self._application(name, 2))
+            temporary.write_text(self._application_config(name, 2))
             temporary.replace(path)
             self.processes.send_signal(name, signal.SIGHUP)
         both = self.random.random() < 0.5
-        self.breaks.append((f"{'split' if both else 'one-way split'} {cut}", time.time_ns()))
-        self.relay(cut=[cut], both=both)
-        self.hold(BOUND / S)
-        self.relay(heal=True)
-        self.told["healed"] = time.time_ns()
-        self.hold(12.0)
-        self.told["end"] = time.time_ns()
+        self.faults.append((f"{'split' if both else 'one-way split'} {isolated}", time.time_ns()))
+        self.command_relay(cut=[isolated], both=both)
+        self.sleep(MAX_PROBE_GAP / S)
+        self.command_relay(heal=True)
+        self.timestamps["healed"] = time.time_ns()
+        self.sleep(12.0)
+        self.timestamps["end"] = time.time_ns()
 
 
 def run_drill(seed: int, folder: Path, short: bool = False, instances: int = 5) -> DrillResult:
-    """Some 90 s; the short form is played by three instances."""
-    stage = Stage(3 if short else instances, seed, folder)
+    """Run the drill, which takes about 90 s; its short form has three instances."""
+    drill = DutiesDrill(3 if short else instances, seed, folder)
     report = CheckReport()
-    with stage.processes:
-        stage.set_up()
-        stage.play()
-        report.violations += stage.processes.unexpected_exits()
-        for name in stage.names:
-            code = stage.processes.terminate(name)
+    with drill.processes:
+        drill.set_up()
+        drill.run_scenario()
+        report.violations += drill.processes.unexpected_exits()
+        for name in drill.names:
+            code = drill.processes.terminate(name)
             report.expect(code == 0, f"{name} ended with {code}")
-    _judge(stage, report)
+    _check(drill, report)
     return DrillResult("duties", seed, report.violations, report.metrics)
 
 
-def _judge(stage: Stage, report: CheckReport) -> None:
-    gaps_steady: list[int] = []
-    longest = 0
+def _check(drill: DutiesDrill, report: CheckReport) -> None:
+    steady_gaps: list[int] = []
+    longest_gap = 0
     total = 0
-    for exchange in stage.exchanges:
-        probes = [line for line in read_events(stage.folder / f"{exchange}.jsonl") if line["what"] == "probe"]
+    for exchange in drill.exchanges:
+        probes = [e for e in read_events(drill.folder / f"{exchange}.jsonl") if e["what"] == "probe"]
         total += len(probes)
-        _one_exchange(stage, report, exchange, probes, gaps_steady)
-        times = [p["t"] for p in probes if p["t"] > stage.told["steady"]]
-        edges = [stage.told["steady"], *times, stage.told["end"]]
-        longest = max([longest, *(b - a for a, b in pairwise(edges))])
-    report.expect(longest <= BOUND, f"an exchange went unprobed for {longest / S:.1f} s")
+        _check_exchange(drill, report, exchange, probes, steady_gaps)
+        times = [p["t"] for p in probes if p["t"] > drill.timestamps["steady"]]
+        edges = [drill.timestamps["steady"], *times, drill.timestamps["end"]]
+        longest_gap = max([longest_gap, *(b - a for a, b in pairwise(edges))])
+    report.expect(longest_gap <= MAX_PROBE_GAP, f"an exchange was not probed for {longest_gap / S:.1f} s")
     report.metrics |= {
-        "probes": total, "longest without a probe, s": round(longest / S, 1), "bound, s": BOUND / S,
-        "steady gap, longest s": round(max(gaps_steady, default=0) / S, 2),
-        "what befell": [what for what, _ in stage.breaks],
+        "probes": total, "longest without a probe, s": round(longest_gap / S, 1),
+        "bound, s": MAX_PROBE_GAP / S, "steady gap, longest s": round(max(steady_gaps, default=0) / S, 2),
+        "what befell": [description for description, _ in drill.faults],
     }  # fmt: skip
 
 
-def _one_exchange(
-    stage: Stage, report: CheckReport, exchange: str, probes: Iterable[dict[str, Any]], steady: list[int]
+def _check_exchange(
+    drill: DutiesDrill,
+    report: CheckReport,
+    exchange: str,
+    probes: Iterable[dict[str, Any]],
+    steady_gaps: list[int],
 ) -> None:
-    before: dict[str, Any] | None = None
-    by_epoch: dict[int, str] = {}
-    first_break = stage.breaks[0][1]
+    previous: dict[str, Any] | None = None
+    holder_by_epoch: dict[int, str] = {}
+    first_fault_at = drill.faults[0][1]
     for probe in probes:
-        holder = by_epoch.setdefault(probe["epoch"], probe["by"])
-        report.expect(holder == probe["by"], f"{exchange}: epoch {probe['epoch']} used by two")
-        report.expect(probe["fresh"], f"{exchange}: a probe under the old epoch {probe['epoch']}")
-        if before is not None:
-            gap = probe["t"] - before["t"]
+        holder = holder_by_epoch.setdefault(probe["epoch"], probe["by"])
+        report.expect(holder == probe["by"], f"{exchange}: epoch {probe['epoch']} used by two instances")
+        report.expect(probe["fresh"], f"{exchange}: a probe with the outdated epoch {probe['epoch']}")
+        if previous is not None:
+            gap = probe["t"] - previous["t"]
             report.expect(
-                gap >= CLOSEST,
-                f"{exchange}: probed twice within {gap // MS} ms, by {before['by']} and {probe['by']}",
+                gap >= MIN_PROBE_GAP,
+                f"{exchange}: probed twice within {gap // MS} ms, by {previous['by']} and {probe['by']}",
             )
-            if stage.told["steady"] < before["t"] and probe["t"] < first_break:
-                steady.append(gap)
+            if drill.timestamps["steady"] < previous["t"] and probe["t"] < first_fault_at:
+                steady_gaps.append(gap)
                 report.expect(
-                    gap <= PERIOD * 3 // 2, f"{exchange}: {gap // MS} ms between probes in a calm time"
+                    gap <= PERIOD * 3 // 2, f"{exchange}: {gap // MS} ms between probes without a fault"
                 )
-        before = probe
+        previous = probe
--- a/arrowrail/lab/drills/sidecar.py
+++ b/arrowrail/lab/drills/sidecar.py
@@ -1,9 +1,10 @@
-"""The sidecar drill: three applications, each beside its sidecar, over five stand-in exchanges.
+"""The sidecar drill: three applications, each with its sidecar, and five stand-in exchanges.
 
-What is played, at times drawn from the seed: the third application surges to five times its limit, partly on
-one connection; an exchange drains by the event bus; a reload takes an exchange out of a pool, and one file is
-found half written; an exchange resets its connections; after the surge one sidecar is killed and started
-again under load, and one application dies with set-ups open and calls standing.
+Scenario, at times drawn from the seed: the third application surges to five times its limit, for some seeds
+on one connection; the event bus announces the drain of an exchange; a reload removes an exchange from a pool,
+and another one reads a file that is written only in part; an exchange resets its connections; after the surge
+one sidecar is killed and restarted under load, and one application is killed with open set-ups and
+established calls.
 """
 
 from __future__ import annotations
@@ -28,13 +29,14 @@
              "kag-1": "kagoshima"}  # fmt: skip
 POOLS = {"fukuoka": ["fuk-1", "fuk-2"], "kumamoto": ["kum-1", "kum-2"]}
 NUMBERS = {"fukuoka": "092", "kumamoto": "096", "kagoshima": "099"}
-LIMIT_OPEN, LIMIT_RATE, RATE, SURGE = 30, 25, 12.0, 10.0  # a surge of ten times 12 is five times 25
-RELOAD_BOUND = 4 * S  # a reload is in force by then: the folder's rest, its check and its hand-over
+# A surge to 10 times the rate of 12 is about 5 times the limit of 25.
+LIMIT_OPEN, LIMIT_RATE, RATE, SURGE_FACTOR = 30, 25, 12.0, 10.0
+MAX_RELOAD_TIME = 4 * S  # waiting until the folder is stable, checking it and applying the new settings
 ORPHANS_S = 2
-AFTER_BACK_S = 3.0  # calls go on for so long once the killed sidecar is back, however long its start took
-LONGEST_START_S = 20.0
-ORDINARY_SHARE = 0.99
-MOST_ATTEMPTS = 2
+AFTER_RESTART_S = 3.0  # how long calls go on once the killed sidecar is back, however long its start took
+MAX_START_S = 20.0
+MIN_ESTABLISHED_SHARE = 0.99  # of the calls of applications that stay within their limits
+MAX_ATTEMPTS = 2
 PAUSE = 300 * MS
 DRAIN_GRACE = 500 * MS
 
@@ -59,11 +61,11 @@
     return "\n".join(lines) + "\n"
 
 
-def _application(name: str, port: int, bus: int) -> str:
+def _application_config(name: str, port: int, bus: int) -> str:
     pools = "{fukuoka: pool.fukuoka, kumamoto: pool.kumamoto}"
     calls = "\n".join(
-        f'    "{kind}": {{give_up: 3s, time_out: 1200ms, pools: {pools}}}'
-        for kind in ("alarm-video", "engineer-call", "status-report")
+        f'    "{class_name}": {{give_up: 3s, time_out: 1200ms, pools: {pools}}}'
+        for class_name in ("alarm-video", "engineer-call", "status-report")
     )
     return f"""include "inventory.rail"
 application: {name}: {{
@@ -73,7 +75,7 @@
 {calls}
   }}
   limits: {{open: {LIMIT_OPEN}, rate: {LIMIT_RATE}/s, connections: 20}}
-  attempts: {MOST_ATTEMPTS}
+  attempts: {MAX_ATTEMPTS}
   list: {{kind: "bus", address: "127.0.0.1:{bus}"}}
   orphans: {ORPHANS_S}s
   log: form: "json"
@@ -89,8 +91,8 @@
     ]  # fmt: skip
 
 
-class Stage:
-    """Sets the processes up, plays the cases and notes when each was told."""
+class SidecarDrill:
+    """Starts the processes, runs the scenario and keeps the times of its steps."""
 
     def __init__(self, seed: int, folder: Path, short: bool) -> None:
         self.random = random.Random(seed)
@@ -98,17 +100,17 @@
         names = [*EXCHANGES, *APPS, "bus"]
         self.ports = dict(zip(names, free_ports(len(names)), strict=True))
         self.processes = ProcessManager(folder)
-        self.told: dict[str, int] = {}
+        self.timestamps: dict[str, int] = {}
         self.seconds = 9.0 if short else 16.0
 
-    def ledger(self, name: str) -> Path:
+    def event_log(self, name: str) -> Path:
         return self.folder / f"{name}.jsonl"
 
-    def lines(self, name: str) -> list[dict[str, Any]]:
-        return list(read_events(self.ledger(name)))
+    def events(self, name: str) -> list[dict[str, Any]]:
+        return list(read_events(self.event_log(name)))
 
     def write(self, name: str, text: str) -> None:
-        """As the tool does it: a whole file takes the place of the old one."""
+        """Replace the file atomically, as the tool does."""
         temporary = self.folder / "conf" / f".{name}.new"
         temporary.write_text(text, encoding="utf-8")
         temporary.replace(self.folder / "conf" / name)
@@ -119,30 +121,36 @@
         )
         wait_until(lambda: is_listening(self.ports[app]), f"sidecar {app}")
 
-    def start_app(self, app: str, name: str, seconds: float, surge: str, narrow: bool) -> None:
-        arguments = ["--to", f"127.0.0.1:{self.ports[app]}", "--ledger", str(self.ledger(name)),
+    def start_app(self, app: str, name: str, seconds: float, surge: str, single_connection: bool) -> None:
+        arguments = ["--to", f"127.0.0.1:{self.ports[app]}", "--ledger", str(self.event_log(name)),
                      "--seed", str(self.random.randrange(1 << 30)), "--rate", str(RATE),
                      "--seconds", str(seconds), "--surge", surge, "--lines", "4"]  # fmt: skip
-        for kind, weight in (("alarm-video", 1), ("engineer-call", 2), ("status-report", 7)):
-            arguments += ["--class", f"{kind}={weight}"]
+        for class_name, weight in (("alarm-video", 1), ("engineer-call", 2), ("status-report", 7)):
+            arguments += ["--class", f"{class_name}={weight}"]
         for prefix in ("092", "096"):
             arguments += ["--number", prefix]
-        self.processes.start(name, "arrowrail.lab.application", *arguments, *(["--narrow"] if narrow else []))
+        self.processes.start(
+            name, "arrowrail.lab.application", *arguments, *(["--narrow"] if single_connection else [])
+        )
 
     def set_up(self) -> None:
         (self.folder / "conf").mkdir()
         self.write("inventory.rail", _inventory(self.ports, POOLS))
         for app in APPS:
-            self.write(f"{app}.rail", _application(app, self.ports[app], self.ports["bus"]))
-        cut = self.random.choice(("kum-1", "kum-2"))
-        cut_at = self.random.uniform(4.0, 6.0)
+            self.write(f"{app}.rail", _application_config(app, self.ports[app], self.ports["bus"]))
+        faulty = self.random.choice(("kum-1", "kum-2"))
+        reset_at_s = self.random.uniform(4.0, 6.0)
         for name in EXCHANGES:
-            fault = ["--fault", f"cut:{cut_at:.2f}:1"] if name == cut else []
-            self.processes.start(name, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{self.ports[name]}",
-                            "--ledger", str(self.ledger(name)), "--circuits", "200",
-                            "--seed", str(self.random.randrange(1 << 30)), *fault)  # fmt: skip
-        self.processes.start("bus", "arrowrail.lab.bus", "--listen", f"127.0.0.1:{self.ports['bus']}",
-                        "--ledger", str(self.ledger("bus")))  # fmt: skip
+            fault = ["--fault", f"cut:{reset_at_s:.2f}:1"] if name == faulty else []
+            self.processes.start(
+                name, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{self.ports[name]}",
+                "--ledger", str(self.event_log(name)), "--circuits", "200",
+                "--seed", str(self.random.randrange(1 << 30)), *fault,
+            )  # fmt: skip
+        self.processes.start(
+            "bus", "arrowrail.lab.bus", "--listen", f"127.0.0.1:{self.ports['bus']}",
+            "--ledger", str(self.event_log("bus")),
+        )  # fmt: skip
         for name in (*EXCHANGES, "bus"):
             wait_until(lambda n=name: is_listening(self.ports[n]), name)  # type: ignore[misc]
         self.processes.send_line("bus", orjson.dumps(_targets(self.ports, {})))
@@ -153,49 +161,51 @@
         for app in APPS:
             self.processes.send_signal(f"sidecar-{app}", signal.SIGHUP)
 
-    def play(self) -> None:
-        began = time.monotonic()
-        narrow = self.random.random() < 0.5
+    def run_scenario(self) -> None:
+        started = time.monotonic()
+        single_connection = self.random.random() < 0.5
 
-        def at(seconds: float) -> None:
-            time.sleep(max(0.0, began + seconds - time.monotonic()))
+        def sleep_until(seconds: float) -> None:
+            time.sleep(max(0.0, started + seconds - time.monotonic()))
 
-        surge_from, surge_s = 2.0, self.seconds / 2 - 1.0
+        surge_start_s, surge_s = 2.0, self.seconds / 2 - 1.0
         for app in APPS:
-            surge = f"{SURGE}:{surge_from}:{surge_s}" if app == APPS[2] else "1:0:0"
-            self.start_app(app, f"app-{app}", self.seconds + LONGEST_START_S, surge, narrow)
-        self.told["surge"] = time.time_ns() + int(surge_from * S)
-        at(surge_from + self.random.uniform(0.2, 0.6))
+            surge = f"{SURGE_FACTOR}:{surge_start_s}:{surge_s}" if app == APPS[2] else "1:0:0"
+            self.start_app(app, f"app-{app}", self.seconds + MAX_START_S, surge, single_connection)
+        self.timestamps["surge"] = time.time_ns() + int(surge_start_s * S)
+        sleep_until(surge_start_s + self.random.uniform(0.2, 0.6))
         drained = self.random.choice(POOLS["fukuoka"])
-        self.told["drain"], self.drained = time.time_ns(), drained
+        self.timestamps["drain"], self.drained = time.time_ns(), drained
         self.processes.send_line("bus", orjson.dumps(_targets(self.ports, {drained: "terminating"})))
-        at(surge_from + 0.8)
-        # A file found half written: the reload must leave everything as it is.
-        broken = _inventory(self.ports, POOLS)
-        (self.folder / "conf" / "inventory.rail").write_text(broken[: len(broken) // 2], encoding="utf-8")
+        sleep_until(surge_start_s + 0.8)
+        # A file that is written only in part: the reload must not change anything.
+        incomplete = _inventory(self.ports, POOLS)
+        (self.folder / "conf" / "inventory.rail").write_text(
+            incomplete[: len(incomplete) // 2], encoding="utf-8"
+        )
         self.reload()
         time.sleep(self.random.uniform(0.05, 0.4))
-        taken_out = self.random.choice(POOLS["kumamoto"])
-        self.taken_out = taken_out
-        kept = [m for m in POOLS["kumamoto"] if m != taken_out]
+        removed = self.random.choice(POOLS["kumamoto"])
+        self.removed = removed
+        kept = [name for name in POOLS["kumamoto"] if name != removed]
         self.write("inventory.rail", _inventory(self.ports, POOLS | {"kumamoto": kept}))
-        self.told["taken out"] = time.time_ns()
+        self.timestamps["taken out"] = time.time_ns()
         self.reload()
-        at(surge_from + surge_s)
-        self.told["surge over"] = time.time_ns()
-        at(surge_from + surge_s + 0.6)
-        self.told["kill"] = time.time_ns()
+        sleep_until(surge_start_s + surge_s)
+        self.timestamps["surge over"] = time.time_ns()
+        sleep_until(surge_start_s + surge_s + 0.6)
+        self.timestamps["kill"] = time.time_ns()
         self.processes.kill("sidecar-lifts")
         self.processes.kill("app-panels")
-        self.told["app killed"] = time.time_ns()
+        self.timestamps["app killed"] = time.time_ns()
         time.sleep(self.random.uniform(0.1, 0.5))
         self.start_sidecar("lifts")
-        self.told["back"] = time.time_ns()
-        at(max(self.seconds, time.monotonic() - began + AFTER_BACK_S))
+        self.timestamps["back"] = time.time_ns()
+        sleep_until(max(self.seconds, time.monotonic() - started + AFTER_RESTART_S))
         for app in (APPS[0], APPS[2]):
             self.processes.send_line(f"app-{app}", orjson.dumps({"do": "stop"}))
-        time.sleep(4.5)  # the last calls have their answers, and the last that stand are over
-        self.told["end"] = time.time_ns()
+        time.sleep(4.5)  # the last calls are answered, and the last established ones have ended
+        self.timestamps["end"] = time.time_ns()
 
     def stop(self) -> dict[str, int]:
         codes = {app: self.processes.terminate(f"sidecar-{app}") for app in APPS}
@@ -205,96 +215,132 @@
 
 
 def run_drill(seed: int, folder: Path, short: bool = False) -> DrillResult:
-    """Play it in an empty folder; some 15 s, or 25 s in its long form."""
-    stage = Stage(seed, folder, short)
+    """Run the drill in an empty folder; takes about 25 s, or 15 s in its short form."""
+    drill = SidecarDrill(seed, folder, short)
     report = CheckReport()
-    with stage.processes:
-        stage.set_up()
-        stage.play()
-        report.violations += stage.processes.unexpected_exits()
-        codes = stage.stop()
+    with drill.processes:
+        drill.set_up()
+        drill.run_scenario()
+        report.violations += drill.processes.unexpected_exits()
+        codes = drill.stop()
     for app, code in codes.items():
         report.expect(code == 0, f"sidecar {app} ended with {code}")
-    _judge(stage, report)
+    _check(drill, report)
     return DrillResult("sidecar", seed, report.violations, report.metrics)
 
 
-def _judge(stage: Stage, report: CheckReport) -> None:
-    exchanges = {name: stage.lines(name) for name in EXCHANGES}
-    told = stage.told
-    by_call = checks.collect_attempts(exchanges)
-    excused: set[str] = set()
+def _check(drill: SidecarDrill, report: CheckReport) -> None:
+    events_by_exchange = {name: drill.events(name) for name in EXCHANGES}
+    timestamps = drill.timestamps
+    by_call = checks.collect_attempts(events_by_exchange)
+    exempt_calls: set[str] = set()
     for app in APPS:
-        lines = stage.lines(f"app-{app}")
-        if app == "panels":  # the application died: what it had sent last has nobody to hear the answer
-            excused |= {line["call"] for line in lines if line["what"] == "sent"
-                        and line["t"] > told["app killed"] - checks.MAX_CALL_TIME}  # fmt: skip
+        events = drill.events(f"app-{app}")
+        if app == "panels":  # the application was killed: answers to its last requests were not recorded
+            exempt_calls |= {
+                event["call"] for event in events
+                if event["what"] == "sent" and event["t"] > timestamps["app killed"] - checks.MAX_CALL_TIME_NS
+            }  # fmt: skip
         if app == "lifts":
-            excused |= {line["call"] for line in lines if line["what"] == "sent"
-                        and told["kill"] - 4 * S < line["t"] < told["back"]}  # fmt: skip
-        calls = checks.check_single_answer(report, app, lines, told["app killed"] if app == "panels" else 0)
-        share, count = checks.established_share(calls, lines, told["surge"], told["surge over"])
+            exempt_calls |= {
+                event["call"] for event in events
+                if event["what"] == "sent" and timestamps["kill"] - 4 * S < event["t"] < timestamps["back"]
+            }  # fmt: skip
+        calls = checks.check_single_answer(
+            report, app, events, timestamps["app killed"] if app == "panels" else 0
+        )
+        share, count = checks.established_share(calls, events, timestamps["surge"], timestamps["surge over"])
         report.metrics[f"{app}: share that stood in the surge"] = round(share, 4)
         report.metrics[f"{app}: calls in the surge"] = count
         if app != APPS[2]:
-            report.expect(share >= ORDINARY_SHARE, f"{app}: {share:.4f} of {count} calls stood in the surge")
-            later, after = checks.established_share(calls, lines, told["back"] + S, told["end"])
-            report.metrics[f"{app}: share that stood after the kills"] = round(later, 4)
+            report.expect(
+                share >= MIN_ESTABLISHED_SHARE,
+                f"{app}: {share:.4f} of {count} calls were established in the surge",
+            )
+            later_share, later_count = checks.established_share(
+                calls, events, timestamps["back"] + S, timestamps["end"]
+            )
+            report.metrics[f"{app}: share that stood after the kills"] = round(later_share, 4)
             if app == "lifts":
                 report.expect(
-                    after > 0 and later >= ORDINARY_SHARE, f"{app}: {later:.4f} of {after} stood later"
+                    later_count > 0 and later_share >= MIN_ESTABLISHED_SHARE,
+                    f"{app}: {later_share:.4f} of {later_count} were established later",
                 )
         else:
-            refused = [a for found in calls.values() for a in found if a["status"] == 503]
+            refused = [answer for answers in calls.values() for answer in answers if answer["status"] == 503]
             report.metrics["engineers: refused"] = len(refused)
-            report.expect(bool(refused), "the surge met no limit")
-            report.expect(all(a["later"] > 0 for a in refused), "a refusal without X-Later-Ms")
-            _at_once(report, lines)
-            _within_limit(report, stage, lines, exchanges)
+            report.expect(bool(refused), "no call of the surge was refused")
+            report.expect(all(answer["later"] > 0 for answer in refused), "a refusal without X-Later-Ms")
+            _check_refusal_delay(report, events)
+            _check_limit(report, drill, events, events_by_exchange)
         if app != "panels":
-            checks.check_release_notified(report, app, exchanges, lines, calls, 8 * S, told["end"])
-    checks.check_attempts(report, by_call, MOST_ATTEMPTS, PAUSE, excused)
-    checks.check_no_new_calls(report, stage.drained, exchanges[stage.drained], told["drain"], DRAIN_GRACE)
-    checks.check_no_new_calls(report, stage.taken_out, exchanges[stage.taken_out], told["taken out"],
-                      RELOAD_BOUND + DRAIN_GRACE)  # fmt: skip
-    report.metrics["set-ups"] = sum(len(a) for a in by_call.values())
-    report.metrics["calls tried again"] = sum(1 for a in by_call.values() if len(a) > 1)
-    _orphans(report, stage, exchanges)
-
-
-def _within_limit(
-    report: CheckReport, stage: Stage, lines: list[dict[str, Any]], exchanges: dict[str, list[dict[str, Any]]]
+            checks.check_release_notified(
+                report, app, events_by_exchange, events, calls, 8 * S, timestamps["end"]
+            )
+    checks.check_attempts(report, by_call, MAX_ATTEMPTS, PAUSE, exempt_calls)
+    checks.check_no_new_calls(
+        report, drill.drained, events_by_exchange[drill.drained], timestamps["drain"], DRAIN_GRACE
+    )
+    checks.check_no_new_calls(
+        report, drill.removed, events_by_exchange[drill.removed], timestamps["taken out"],
+        MAX_RELOAD_TIME + DRAIN_GRACE,
+    )  # fmt: skip
+    report.metrics["set-ups"] = sum(len(attempts) for attempts in by_call.values())
+    report.metrics["calls tried again"] = sum(1 for attempts in by_call.values() if len(attempts) > 1)
+    _check_orphans(report, drill, events_by_exchange)
+
+
+def _check_limit(
+    report: CheckReport,
+    drill: SidecarDrill,
+    events: list[dict[str, Any]],
+    events_by_exchange: dict[str, list[dict[str, Any]]],
 ) -> None:
-    """Of the surge, exchanges saw no more than the rate, and what own and lent buckets held before it."""
-    since, until_ = stage.told["surge"], stage.told["surge over"]
-    sent = {line["call"] for line in lines if line["what"] == "sent" and since <= line["t"] < until_}
-    seen = {line["call"] for found in exchanges.values() for line in found if line["what"] == "set_up"}
-    count = len(seen & sent)
-    most = LIMIT_RATE * (until_ - since) / S + 2 * LIMIT_RATE + 5
+    """Check that the calls of the surge at exchanges stay within the rate plus the initial bucket contents.
+
+    The buckets are the application's own and the lent ones.
+    """
+    since_ns, until_ns = drill.timestamps["surge"], drill.timestamps["surge over"]
+    sent = {
+        event["call"] for event in events if event["what"] == "sent" and since_ns <= event["t"] < until_ns
+    }
+    received = {
+        event["call"]
+        for events in events_by_exchange.values()
+        for event in events
+        if event["what"] == "set_up"
+    }
+    count = len(received & sent)
+    max_count = LIMIT_RATE * (until_ns - since_ns) / S + 2 * LIMIT_RATE + 5
     report.metrics["engineers: calls of the surge that exchanges saw"] = count
-    report.expect(count <= most, f"{count} calls of the surge passed the limit of {most:.0f}")
-
-
-def _at_once(report: CheckReport, lines: list[dict[str, Any]]) -> None:
-    """What is over the limit is refused at once: half of the refusals within 100 ms, as a bound for haste."""
-    sent = {line["call"]: line["t"] for line in lines if line["what"] == "sent"}
-    refused = [a for a in lines if a["what"] == "answer" and a["status"] == 503 and a["call"] in sent]
-    waits = sorted(a["t"] - sent[a["call"]] for a in refused)
-    if waits:
-        report.metrics["refused after, median ms"] = round(waits[len(waits) // 2] / MS, 1)
-        report.expect(waits[len(waits) // 2] < 100 * MS, "refusals are held back")
-
-
-def _orphans(report: CheckReport, stage: Stage, exchanges: dict[str, list[dict[str, Any]]]) -> None:
-    """Calls of the application that died are released, or over by themselves, soon after."""
-    mine = {line["call"] for line in stage.lines("app-panels") if line["what"] == "sent"}
-    limit = stage.told["app killed"] + (ORPHANS_S + 2) * S
-    for name, lines in exchanges.items():
-        stand: dict[str, int] = {}
-        for line in lines:
-            if line["what"] == "answered" and line["call"] in mine:
-                stand[line["call"]] = line["t"]
-            elif line["what"] in ("released", "over"):
-                stand.pop(line["call"], None)
-        if limit < stage.told["end"]:
-            report.expect(not stand, f"{name}: {len(stand)} calls of a dead application still stand")
+    report.expect(count <= max_count, f"{count} calls of the surge exceeded the limit of {max_count:.0f}")
+
+
+def _check_refusal_delay(report: CheckReport, events: list[dict[str, Any]]) -> None:
+    """Check that calls over the limit are refused without delay: half of the refusals within 100 ms."""
+    sent = {event["call"]: event["t"] for event in events if event["what"] == "sent"}
+    refused = [e for e in events if e["what"] == "answer" and e["status"] == 503 and e["call"] in sent]
+    delays = sorted(answer["t"] - sent[answer["call"]] for answer in refused)
+    if delays:
+        report.metrics["refused after, median ms"] = round(delays[len(delays) // 2] / MS, 1)
+        report.expect(delays[len(delays) // 2] < 100 * MS, "refusals are delayed")
+
+
+def _check_orphans(
+    report: CheckReport, drill: SidecarDrill, events_by_exchange: dict[str, list[dict[str, Any]]]
+) -> None:
+    """Check that the calls of the killed application are released, or end by themselves, soon after."""
+    sent = {event["call"] for event in drill.events("app-panels") if event["what"] == "sent"}
+    limit_ns = drill.timestamps["app killed"] + (ORPHANS_S + 2) * S
+    for name, events in events_by_exchange.items():
+        established: dict[str, int] = {}
+        for event in events:
+            if event["what"] == "answered" and event["call"] in sent:
+                established[event["call"]] = event["t"]
+            elif event["what"] in ("released", "over"):
+                established.pop(event["call"], None)
+        if limit_ns < drill.timestamps["end"]:
+            report.expect(
+                not established,
+                f"{name}: {len(established)} calls of a killed application are still established",
+            )
--- a/arrowrail/lab/drills/soak.py
+++ b/arrowrail/lab/drills/soak.py
@@ -1,4 +1,4 @@
-"""The soak drill: one trial a seed, played with real processes and judged by every rule of the pages."""
+"""The soak drill: one trial per seed, run with real processes and checked against all documented rules."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from arrowrail.lab.soak.player import PROGRAM, Player
 
 SHORT_SECONDS = 10.0
-LATE_MS = 250  # a stand-in that was late for longer makes limits of time unsafe to judge
+LATE_MS = 250  # if a stand-in was delayed for longer, time limits cannot be checked reliably
 
 
 def run_drill(seed: int, folder: Path, short: bool) -> DrillResult:
-    """One trial as the command line of all drills asks for it."""
+    """Run one trial, with the parameters that all drills have."""
     return run_plan(draw(seed, SHORT_SECONDS if short else SECONDS), folder)
 
 
 def run_plan(plan: Plan, folder: Path, program: tuple[str, ...] = PROGRAM) -> DrillResult:
-    """Play a plan and judge it; ``program`` is the module that is started as the controller."""
+    """Run a plan and check it; ``program`` is the module that is started as the controller."""
     Player(plan, folder, program).play()
     history = load(plan, folder)
     breaches = judge(history)
-    broken = [_line(history, breach) for breach in breaches]
-    return DrillResult("soak", plan.seed, broken, _figures(history, breaches))
+    violations = [_describe(history, breach) for breach in breaches]
+    return DrillResult("soak", plan.seed, violations, _metrics(history, breaches))
 
 
-def _line(history: History, breach: Breach) -> str:
-    at = (breach.at - history.began) / 1e9
+def _describe(history: History, breach: Breach) -> str:
+    at_s = (breach.at - history.began) / 1e9
     call = f" call {breach.call}" if breach.call else ""
-    return f"{breach.rule}: {at:.3f} s{call}: {breach.what}"
+    return f"{breach.rule}: {at_s:.3f} s{call}: {breach.what}"
 
 
-def _figures(history: History, breaches: list[Breach]) -> dict[str, Any]:
+def _metrics(history: History, breaches: list[Breach]) -> dict[str, Any]:
     calls = [call for call in history.calls.values() if call.sent]
     clear = undisturbed(history)
     return {
--- a/arrowrail/lab/event_log.py
+++ b/arrowrail/lab/event_log.py
@@ -1,4 +1,7 @@
-"""What a stand-in saw: one JSON object a line, with the Unix time in ns, written once a turn of its loop."""
+"""Event log of a stand-in program: one JSON object per line, with a Unix time in ns.
+
+Records are written to the file once per iteration of the program's event loop.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +14,10 @@
 
 
 class EventLog:
-    """Lines are kept until ``flush``; a process that is killed loses those of its last turn at most."""
+    """Buffers records until ``flush``; a killed process loses at most those of its last loop iteration."""
 
     def __init__(self, path: Path | str) -> None:
-        self._file = open(path, "ab", buffering=0)  # noqa: SIM115 - held for the process's life
+        self._file = open(path, "ab", buffering=0)  # noqa: SIM115 - open for the lifetime of the process
         self._lines: list[bytes] = []
 
     def record(self, event_name: str, **fields: Any) -> None:
@@ -27,7 +30,7 @@
 
 
 def read_events(path: Path) -> Iterator[dict[str, Any]]:
-    """The lines of a ledger; a last one that was cut off by a kill is left out."""
+    """Yield the records of an event log; a last line that was cut off by a kill is skipped."""
     if not path.exists():
         return
     for line in path.read_bytes().split(b"\n"):
--- a/arrowrail/lab/observers.py
+++ b/arrowrail/lab/observers.py
@@ -1,7 +1,7 @@
-"""What a proxy writes down of the messages that pass: the program's side of each, with the time.
+"""Recording of the messages that pass through a proxy, as the program under test sees them.
 
-The bytes are only read, never changed.  What can't be read, as a spoilt answer, is written down as that and
-ends the reading of its direction.
+The bytes are never changed.  Input that cannot be parsed, such as a corrupt answer, is recorded as
+``unreadable`` and ends the parsing of its direction.
 """
 
 from __future__ import annotations
@@ -13,101 +13,105 @@
 from arrowrail.lab.event_log import EventLog
 from arrowrail.wire.binary import messages as binary
 
-KINDS = {binary.SET_UP: "set_up", binary.ANSWER: "answer", binary.RELEASE: "release"}
+EVENT_NAMES = {binary.SET_UP: "set_up", binary.ANSWER: "answer", binary.RELEASE: "release"}
 OFFSET = re.compile(rb'"offset":(\d+)[,}]')
-LONGEST_OFFSET = 32  # bytes that may hold the beginning of one, at the end of a piece
+MAX_OFFSET_SIZE = 32  # bytes at the end of a chunk that may hold an incomplete offset
 _connections = itertools.count(1)
 
 
 class Observer(Protocol):
+    """Receives the bytes of one proxied connection; the client is the program under test."""
+
     def from_client(self, data: bytes) -> None:
-        """Bytes that the program wrote."""
+        """Bytes that the program has written."""
 
     def to_client(self, data: bytes) -> None:
-        """Bytes that the program is handed."""
+        """Bytes that the program can read."""
 
-    def ended(self, by: str) -> None:
-        """The connection has ended: ``client`` or ``reset``."""
+    def connection_ended(self, by: str) -> None:
+        """The connection has ended; ``by`` is ``client`` or ``reset``."""
 
 
-class Silent:
-    """Writes nothing down."""
+class NullObserver:
+    """Records nothing."""
 
     def from_client(self, data: bytes) -> None: ...
     def to_client(self, data: bytes) -> None: ...
-    def ended(self, by: str) -> None: ...
+    def connection_ended(self, by: str) -> None: ...
 
 
 class BinaryObserver:
-    """Set-ups, answers and releases of one connection to a server."""
+    """Records set-ups, answers and releases of one connection to a server."""
 
-    def __init__(self, ledger: EventLog, route: str) -> None:
-        self._ledger, self._route = ledger, route
+    def __init__(self, event_log: EventLog, route: str) -> None:
+        self._event_log, self._route = event_log, route
         self._connection = next(_connections)
         self._parsers: dict[str, binary.BinaryParser | None] = {
             "out": binary.BinaryParser(), "in": binary.BinaryParser(),
         }  # fmt: skip
 
     def from_client(self, data: bytes) -> None:
-        self._read("out", data)
+        self._parse("out", data)
 
     def to_client(self, data: bytes) -> None:
-        self._read("in", data)
+        self._parse("in", data)
 
-    def ended(self, by: str) -> None:
-        """Whatever comes later is for nobody."""
+    def connection_ended(self, by: str) -> None:
+        """Stop parsing: the program receives nothing that comes later."""
         self._parsers = {"out": None, "in": None}
-        self._ledger.record("connection_ended", route=self._route, connection=self._connection, by=by)
+        self._event_log.record("connection_ended", route=self._route, connection=self._connection, by=by)
 
-    def _read(self, way: str, data: bytes) -> None:
-        parser = self._parsers[way]
+    def _parse(self, direction: str, data: bytes) -> None:
+        parser = self._parsers[direction]
         if parser is None:
             return
         try:
             messages = parser.feed(data)
         except binary.BinaryError:
-            self._parsers[way] = None
-            self._ledger.record("unreadable", route=self._route, connection=self._connection, way=way)
+            self._parsers[direction] = None
+            self._event_log.record(
+                "unreadable", route=self._route, connection=self._connection, way=direction
+            )
             return
         for message in messages:
-            kind = KINDS.get(message.message_type)
-            if kind is not None:
-                self._ledger.record(
-                    kind, way=way, route=self._route, connection=self._connection,
+            event_name = EVENT_NAMES.get(message.message_type)
+            if event_name is not None:
+                self._event_log.record(
+                    event_name, way=direction, route=self._route, connection=self._connection,
                     call=f"{message.call_id:016x}", cause=message.cause,
                 )  # fmt: skip
 
 
 class DiscoveryObserver:
-    """Reads and the numbers of events of one connection to discovery."""
+    """Records the client's requests and the offsets of events on one connection to discovery."""
 
-    def __init__(self, ledger: EventLog, route: str) -> None:
-        self._ledger, self._route = ledger, route
-        self._rest = b""
-        self._ended = False
+    def __init__(self, event_log: EventLog, route: str) -> None:
+        self._event_log, self._route = event_log, route
+        self._unparsed = b""
+        self._closed = False
 
     def from_client(self, data: bytes) -> None:
-        self._ledger.record("discovery_read", route=self._route)
+        self._event_log.record("discovery_read", route=self._route)
 
     def to_client(self, data: bytes) -> None:
-        if self._ended:
-            return  # the program has closed it
-        text = self._rest + data
+        if self._closed:
+            return  # the program has closed the connection
+        buffer = self._unparsed + data
         end = 0
-        for found in OFFSET.finditer(text):
-            end = found.end()
-            self._ledger.record("discovery_event", route=self._route, offset=int(found[1]))
-        self._rest = text[max(end, len(text) - LONGEST_OFFSET) :]
-
-    def ended(self, by: str) -> None:
-        self._ended = True
-        self._ledger.record("discovery_ended", route=self._route, by=by)
-
-
-def observer_of(spoken: str, ledger: EventLog, route: str) -> Observer:
-    """The observer of a new connection, by what is spoken on its route."""
-    if spoken == "binary":
-        return BinaryObserver(ledger, route)
-    if spoken == "discovery":
-        return DiscoveryObserver(ledger, route)
-    return Silent()
+        for match in OFFSET.finditer(buffer):
+            end = match.end()
+            self._event_log.record("discovery_event", route=self._route, offset=int(match[1]))
+        self._unparsed = buffer[max(end, len(buffer) - MAX_OFFSET_SIZE) :]
+
+    def connection_ended(self, by: str) -> None:
+        self._closed = True
+        self._event_log.record("discovery_ended", route=self._route, by=by)
+
+
+def create_observer(protocol: str, event_log: EventLog, route: str) -> Observer:
+    """Create the observer of a new connection, by the protocol of its route."""
+    if protocol == "binary":
+        return BinaryObserver(event_log, route)
+    if protocol == "discovery":
+        return DiscoveryObserver(event_log, route)
+    return NullObserver()
--- a/arrowrail/lab/platform.py
+++ b/arrowrail/lab/platform.py
@@ -1,6 +1,6 @@
-"""The platform's side of a controller's start, as the operators' pages give it: settings, list, file.
+"""Configuration files of controllers, as the platform writes them: settings, server list, addresses.
 
-Used by tests and drills that start the program as a process of its own.
+Used by tests and drills that start the controller as a separate process.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClassConfig:
-    """One class of call in the settings; times in ms."""
+    """One call class of the settings; times in ms."""
 
     name: str
     deadline_ms: int = 3000
@@ -30,17 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One line of the list of servers."""
+    """One entry of the server list."""
 
     uid: str
     address: str  # host:port
-    exchange: int  # the number that calls name as their destination
+    exchange: int  # the number that calls give as their destination
     zone: str = "east"
     state: str = IN_SERVICE
-    started_ms: int = 0  # Unix time of a late start; 0: long ago
+    started_ms: int = 0  # Unix time of the start, if it is recent; 0: long ago
 
     def to_entry(self) -> dict[str, Any]:
-        """As it stands in an event of discovery."""
+        """The entry as discovery events contain it."""
         return {
             "uid": self.uid, "endpoint": self.address, "az": self.zone, "model": "std",
             "pod_group": self.exchange, "state": self.state, "capacity_hint": 1, "boot_ms": self.started_ms,
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What the settings of all controllers of a deployment share; times in ms."""
+    """Settings that all controllers of a deployment share; times in ms."""
 
     classes: tuple[CallClassConfig, ...] = (CallClassConfig("voice"),)
     controllers: int = 1
@@ -69,7 +69,7 @@
         return max(c.deadline_ms for c in self.classes)
 
     def settings(self, rank: int = 0) -> dict[str, Any]:
-        """The object that the pages call 'the settings', for one controller."""
+        """The ``settings`` object of one controller's configuration file."""
         return {
             "classes": [
                 {"name": c.name, "worth": c.worth, "late-share": 0.25, "objective-ns": c.aim_ms * MS,
@@ -103,7 +103,7 @@
 
 
 def discovery_event(offset: int, servers: list[Server], snapshot: bool) -> dict[str, Any]:
-    """One numbered event of discovery."""
+    """One numbered discovery event: a snapshot of the server list, or the entries that changed."""
     entries = [server.to_entry() for server in servers]
     return {"offset": offset, "topology": {"rev": offset, "all": snapshot, "targets": entries}}
 
@@ -111,18 +111,18 @@
 def controller_config(
     deployment: Deployment, name: str, listen: str, discovery: str, rank: int = 0, offset: int = 1
 ) -> dict[str, Any]:
-    """The configuration file of one controller; ``known`` holds the whole list as event ``offset``."""
-    known = discovery_event(offset, list(deployment.servers), True)
+    """The configuration of one controller; ``known`` holds a snapshot of the list as event ``offset``."""
+    initial_event = discovery_event(offset, list(deployment.servers), True)
     return {
         "name": name, "listen": listen, "seed": f"{rank + 1:016x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": deployment.sockets},
-        "bus": discovery, "known": {"offset": offset, "batch": [known]},
+        "bus": discovery, "known": {"offset": offset, "batch": [initial_event]},
         "settings": deployment.settings(rank),
     }  # fmt: skip
 
 
 def write_config(path: Path, value: dict[str, Any]) -> dict[str, str]:
-    """Put the file in place whole; returns the environment of the program that is to read it."""
+    """Replace the file atomically; returns the environment variables of the controller that reads it."""
     temporary = path.with_suffix(".new")
     temporary.write_bytes(orjson.dumps(value))
     os.replace(temporary, path)
--- a/arrowrail/lab/processes.py
+++ b/arrowrail/lab/processes.py
@@ -1,4 +1,4 @@
-"""Real processes for drills: started with the project's own interpreter, ended by their own id."""
+"""Child processes of drills and tests: started with this interpreter, ended by their own process id."""
 
 from __future__ import annotations
 
@@ -18,61 +18,62 @@
 from typing import TextIO
 
 ROOT = Path(__file__).resolve().parents[2]
-WAIT_S = 20.0
+DEFAULT_TIMEOUT_S = 20.0
 
 
-# Below the ports that the kernel gives to outgoing connections: a stand-in that closes its port for a while,
-# as a server that refuses, must find it free again.
-FIRST_PORT, LAST_PORT, BLOCK = 12_000, 32_000, 100
-_blocks: list[TextIO] = []  # lock files of the blocks of ports that this process holds
-_ports: list[int] = []  # of those blocks, not handed out yet
+# The range lies below the kernel's ephemeral ports: a stand-in that closes its port for a while to refuse
+# connections must be able to bind the port again.
+FIRST_PORT, LAST_PORT, BLOCK_SIZE = 12_000, 32_000, 100
+_block_locks: list[TextIO] = []  # lock files of the port blocks that this process holds
+_unassigned_ports: list[int] = []  # ports of those blocks that no caller has been given yet
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody listens on, and that no other process of the lab is given meanwhile."""
-    found: list[int] = []
-    while len(found) < count:
-        if not _ports:
-            _ports.extend(_hold_block())
-        port = _ports.pop(0)
+    """Return ports that are not in use, and that no other process of the lab is given until this one ends."""
+    ports: list[int] = []
+    while len(ports) < count:
+        if not _unassigned_ports:
+            _unassigned_ports.extend(_reserve_block())
+        port = _unassigned_ports.pop(0)
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
-            found.append(port)
-    return found
+            ports.append(port)
+    return ports
 
 
-def _hold_block() -> range:
-    """Lock a block of ports until this process ends."""
-    blocks = list(range(FIRST_PORT, LAST_PORT, BLOCK))
-    random.SystemRandom().shuffle(blocks)
-    for first in blocks:
-        path = Path(tempfile.gettempdir()) / f"arrowrail-ports-{first}.lock"
-        lock = open(path, "a", encoding="utf-8")  # noqa: SIM115 - held for the process's life
+def _reserve_block() -> range:
+    """Lock a block of ports until this process ends, by a lock file that all processes of the lab use."""
+    first_ports = list(range(FIRST_PORT, LAST_PORT, BLOCK_SIZE))
+    random.SystemRandom().shuffle(first_ports)
+    for first_port in first_ports:
+        path = Path(tempfile.gettempdir()) / f"arrowrail-ports-{first_port}.lock"
+        lock = open(path, "a", encoding="utf-8")  # noqa: SIM115 - open for the lifetime of the process
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             lock.close()
             continue
-        _blocks.append(lock)
-        return range(first, first + BLOCK)
-    raise RuntimeError("no block of ports is free")
+        _block_locks.append(lock)
+        return range(first_port, first_port + BLOCK_SIZE)
+    raise RuntimeError("all blocks of test ports are in use")
 
 
-def wait_until(condition: Callable[[], bool], what: str, wait_s: float = WAIT_S) -> None:
-    end = time.monotonic() + wait_s
+def wait_until(condition: Callable[[], bool], what: str, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
+    """Poll ``condition`` until it is true; ``TimeoutError`` names ``what`` was waited for."""
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() > end:
-            raise TimeoutError(f"never came: {what}")
+        if time.monotonic() > deadline:
+            raise TimeoutError(f"timed out waiting for {what}")
         time.sleep(0.02)
 
 
 def is_listening(port: int) -> bool:
-    with socket.socket() as s:
-        s.settimeout(0.5)
-        return s.connect_ex(("127.0.0.1", port)) == 0
+    with socket.socket() as sock:
+        sock.settimeout(0.5)
+        return sock.connect_ex(("127.0.0.1", port)) == 0
 
 
 class ProcessManager:
-    """The processes of one drill; at the end all of them are gone."""
+    """The child processes of one drill or test; all of them are ended when its context is left."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -81,7 +82,7 @@
     def start(
         self, name: str, *arguments: str, environment: Mapping[str, str] | None = None
     ) -> subprocess.Popen[bytes]:
-        """Start ``python -m ARGUMENTS``; its output goes to ``NAME.log`` in the folder of the drill."""
+        """Start ``python -m ARGUMENTS``; its output is appended to ``NAME.log`` in the folder."""
         variables = dict(os.environ, PYTHONPATH=str(ROOT), PYTHONDONTWRITEBYTECODE="1") | dict(
             environment or {}
         )
@@ -94,6 +95,7 @@
         return child
 
     def send_line(self, name: str, line: bytes) -> None:
+        """Write one line, a command as JSON, to the standard input of a process."""
         stdin = self.running[name].stdin
         assert stdin is not None
         stdin.write(line + b"\n")
@@ -103,29 +105,34 @@
         self.running[name].send_signal(signal_number)
 
     def kill(self, name: str) -> None:
-        """As a crash: no word, no goodbye."""
+        """End a process by SIGKILL, to simulate a crash."""
         child = self.running.pop(name)
         child.kill()
-        child.wait(WAIT_S)
+        child.wait(DEFAULT_TIMEOUT_S)
 
     def terminate(self, name: str) -> int:
+        """End a process by SIGTERM; returns its exit code, -1 if it had to be killed."""
         child = self.running.pop(name)
         child.send_signal(signal.SIGTERM)
         try:
-            return child.wait(WAIT_S)
+            return child.wait(DEFAULT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             child.kill()
-            child.wait(WAIT_S)
+            child.wait(DEFAULT_TIMEOUT_S)
             return -1
 
     def unexpected_exits(self) -> list[str]:
-        """Those that ended by themselves."""
-        return [f"{n} ended with {p.returncode}" for n, p in self.running.items() if p.poll() is not None]
+        """Describe the processes that have exited without being told to."""
+        return [
+            f"{name} ended with {child.returncode}"
+            for name, child in self.running.items()
+            if child.poll() is not None
+        ]
 
     def __enter__(self) -> ProcessManager:
         return self
 
-    def __exit__(self, _kind: type[BaseException] | None, _why: BaseException | None,
-                 _trace: TracebackType | None) -> None:  # fmt: skip
+    def __exit__(self, _type: type[BaseException] | None, _error: BaseException | None,
+                 _traceback: TracebackType | None) -> None:  # fmt: skip
         for name in list(self.running):
             self.terminate(name)
--- a/arrowrail/lab/proxy.py
+++ b/arrowrail/lab/proxy.py
@@ -1,25 +1,26 @@
-"""A TCP proxy in a process of its own that plays network faults between two parties.
+"""A TCP proxy in a separate process that injects network faults between a client and an upstream server.
 
 ``python -m arrowrail.lab.proxy --ledger FILE NAME=LISTEN=UPSTREAM[=SOURCE] ...``; each line of its standard
-input is one command as JSON, ``{"route": NAME, "do": MODE, ...}``.  What it does and when stands in its
-ledger.
+input is one command as JSON, ``{"route": NAME, "do": MODE, ...}``.  The commands and their times are recorded
+in its event log.
 
 Modes of a route:
 
-- ``pass``: bytes go both ways (the start).
-- ``vanish``: open connections stay open and silent, new ones never come up, as when a machine loses its power
-  or its link.  New connections are held off by the kernel: the accept queue is kept full.
-- ``hang``: connections come up and nothing is passed on, as when a process is stopped.
+- ``pass``: bytes are forwarded both ways (the initial mode).
+- ``vanish``: open connections stay open and silent, new ones are never established, as when a machine loses
+  its power or its network link.  The kernel ignores new connections because the accept queue is kept full.
+- ``hang``: connections are established and nothing is forwarded, as when a process is stopped.
 - ``refuse``: connections are reset, new ones are refused, as when a process has died.
-- ``one_way``: bytes toward the upstream are held, those from it pass; ``"toward": "client"``: the reverse.
+- ``one_way``: bytes toward the upstream are buffered, those from it are forwarded; ``"toward": "client"``:
+  the reverse.
 
-Bytes that were held are passed on when the route is put back to ``pass``, as TCP does once a link is mended;
-with ``"forget": true`` the connections of before stay silent for good, as after the machine was replaced.
-``reset`` is no mode: it resets the open connections of a route once.
+Buffered bytes are forwarded when the route returns to ``pass``, as TCP does once a link is restored; with
+``"forget": true`` the connections of before stay silent for good, as after the machine was replaced.
+``reset`` is not a mode: it resets the open connections of a route once.
 
-What passes is written down as well, where the route's name says what is spoken there: ``NAME/binary`` for
-set-ups, answers and releases, ``NAME/discovery`` for the numbers of events.  It is written when the program,
-which is the client of all routes, has written it or is handed it: that is what the program can know.
+Messages are recorded as well, where the name of the route gives its protocol: ``NAME/binary`` for set-ups,
+answers and releases, ``NAME/discovery`` for the offsets of events.  They are recorded when the program under
+test, which is the client of all routes, has sent them or can read them: that is what the program can know.
 """
 
 from __future__ import annotations
@@ -32,67 +33,69 @@
 
 from arrowrail.lab.commands import read_commands, run_until_sigterm
 from arrowrail.lab.event_log import EventLog
-from arrowrail.lab.observers import Observer, observer_of
+from arrowrail.lab.observers import Observer, create_observer
 from arrowrail.loop import READ, WRITE, Loop
 from arrowrail.state.address import parse_address
 
 CHUNK = 64 * 1024
-HELD_LIMIT = 1024 * 1024  # bytes held for one side of one connection; more are left in the kernel
+MAX_BUFFERED = 1024 * 1024  # bytes buffered for one side of one connection; more stay in the kernel
 BACKLOG = 512
-FILLERS = 8  # connections tried, at most, to fill an accept queue of one
-FILL_WAIT_S = 0.05
-RESET = struct.pack("ii", 1, 0)
+MAX_QUEUE_FILLERS = 8  # most connections that are opened to fill an accept queue of length one
+FILL_TIMEOUT_S = 0.05
+LINGER_RESET = struct.pack("ii", 1, 0)
 MODES = ("pass", "vanish", "hang", "refuse", "one_way")
 UPSTREAM, CLIENT = "upstream", "client"
 
 
-class Side:
-    """One end of a proxied connection: its socket, and the bytes on their way to it."""
+class ConnectionSide:
+    """One side of a proxied connection: its socket, and the bytes to be sent to it."""
 
-    def __init__(self, pair: Pair, sock: socket.socket, name: str, connecting: bool) -> None:
-        self.pair, self.sock, self.name, self.connecting = pair, sock, name, connecting
-        self.held = bytearray()
+    def __init__(
+        self, connection: ProxiedConnection, sock: socket.socket, name: str, connecting: bool
+    ) -> None:
+        self.connection, self.sock, self.name, self.connecting = connection, sock, name, connecting
+        self.buffer = bytearray()
         self.read_ended = self.write_ended = False
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @property
-    def other(self) -> Side:
-        return self.pair.client if self is self.pair.upstream else self.pair.upstream
+    def other(self) -> ConnectionSide:
+        return self.connection.client if self is self.connection.upstream else self.connection.upstream
 
     def watch(self) -> None:
-        """Wait for what can be done now: reading while there is room, writing while bytes may pass."""
+        """Register for reading while there is buffer space, and for writing while bytes may be forwarded."""
         mask = 0
-        may_write = self.pair.passes(self.name)
-        if self.connecting or (self.held and may_write):
+        may_write = self.connection.forwards_to(self.name)
+        if self.connecting or (self.buffer and may_write):
             mask |= WRITE
-        room = len(self.other.held) < HELD_LIMIT
-        gone = self.pair.forgotten and self.name == UPSTREAM
-        if not self.connecting and not self.read_ended and room and not gone:
+        has_space = len(self.other.buffer) < MAX_BUFFERED
+        ignored = self.connection.silenced and self.name == UPSTREAM
+        if not self.connecting and not self.read_ended and has_space and not ignored:
             mask |= READ
         if mask:
-            self.pair.route.proxy.loop.watch(self.sock, mask, self.ready)
+            self.connection.route.proxy.loop.watch(self.sock, mask, self.ready)
         else:
-            self.pair.route.proxy.loop.unwatch(self.sock)
+            self.connection.route.proxy.loop.unwatch(self.sock)
 
     def ready(self, mask: int) -> None:
         try:
             if self.connecting:
-                self._come_up()
+                self._finish_connect()
             elif mask & READ:
                 self._read()
                 self.other.flush()
             if not self.connecting:
                 self.flush()
         except OSError:
-            if self.name == UPSTREAM and not self.pair.passes(CLIENT):
-                self.pair.upstream_lost()
+            if self.name == UPSTREAM and not self.connection.forwards_to(CLIENT):
+                self.connection.upstream_lost()
             else:
-                self.pair.reset()
+                self.connection.reset()
             return
-        self.pair.watch()
+        self.connection.watch()
 
-    def _come_up(self) -> None:
+    def _finish_connect(self) -> None:
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             raise OSError(error, "connect")
@@ -101,56 +104,56 @@
     def _read(self) -> None:
         data = self.sock.recv(CHUNK)
         if data:
-            self.other.held += data
+            self.other.buffer += data
             if self.name == CLIENT:
-                self.pair.observer.from_client(data)
+                self.connection.observer.from_client(data)
         else:
             self.read_ended = True
             if self.name == CLIENT:
-                self.pair.observer.ended("client")
+                self.connection.observer.connection_ended("client")
 
     def flush(self) -> None:
-        """Write what is held, and pass the end of the stream on behind it."""
-        if self.connecting or not self.pair.passes(self.name):
+        """Send the buffered bytes, and after them the end of the stream."""
+        if self.connecting or not self.connection.forwards_to(self.name):
             return
-        while self.held:
+        while self.buffer:
             try:
-                sent = self.sock.send(self.held)
+                sent = self.sock.send(self.buffer)
             except BlockingIOError:
                 return
             if self.name == CLIENT:
-                self.pair.observer.to_client(bytes(self.held[:sent]))
-            del self.held[:sent]
+                self.connection.observer.to_client(bytes(self.buffer[:sent]))
+            del self.buffer[:sent]
         if self.other.read_ended and not self.write_ended:
             self.write_ended = True
             self.sock.shutdown(socket.SHUT_WR)
 
 
-class Pair:
-    """One proxied connection."""
+class ProxiedConnection:
+    """A client's connection and the connection to the upstream that belongs to it."""
 
     def __init__(self, route: Route, sock: socket.socket) -> None:
         self.route = route
-        self.forgotten = False  # it stays open and silent for good
-        self.observer: Observer = observer_of(route.spoken, route.proxy.ledger, route.name)
+        self.silenced = False  # stays open and silent for good
+        self.observer: Observer = create_observer(route.protocol, route.proxy.event_log, route.name)
         upstream = socket.socket()
         upstream.setblocking(False)
-        self.client = Side(self, sock, CLIENT, False)
-        self.upstream = Side(self, upstream, UPSTREAM, True)
-        route.pairs[self] = None
+        self.client = ConnectionSide(self, sock, CLIENT, False)
+        self.upstream = ConnectionSide(self, upstream, UPSTREAM, True)
+        route.connections[self] = None
         if route.source:
             upstream.bind((route.source, 0))
         upstream.connect_ex(route.upstream)
         self.watch()
 
-    def passes(self, toward: str) -> bool:
-        """Whether bytes may go to that side now."""
-        if self.forgotten or self.route.mode in ("vanish", "hang"):
+    def forwards_to(self, side_name: str) -> bool:
+        """Whether bytes may be sent to that side in the current mode."""
+        if self.silenced or self.route.mode in ("vanish", "hang"):
             return False
-        return self.route.mode != "one_way" or toward != self.route.held_toward
+        return self.route.mode != "one_way" or side_name != self.route.blocked_toward
 
     def watch(self) -> None:
-        if self in self.route.pairs:
+        if self in self.route.connections:
             for side in (self.client, self.upstream):
                 side.watch()
             if self.client.write_ended and self.upstream.write_ended:
@@ -165,44 +168,44 @@
         self.watch()
 
     def upstream_lost(self) -> None:
-        """The party behind a route out of reach has ended: the client can't see it, and never hears of it."""
-        self.forgotten = True
+        """The upstream ended while it was unreachable: the client cannot see that, and is never notified."""
+        self.silenced = True
         self.route.proxy.loop.unwatch(self.upstream.sock)
 
     def reset(self) -> None:
-        """End it as a broken connection: both sides see a reset."""
-        self.observer.ended("reset")
+        """End it as a failed connection: both sides receive a TCP reset."""
+        self.observer.connection_ended("reset")
         for side in (self.client, self.upstream):
-            side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.close()
 
     def close(self) -> None:
-        self.route.pairs.pop(self, None)
+        self.route.connections.pop(self, None)
         for side in (self.client, self.upstream):
             self.route.proxy.loop.unwatch(side.sock)
             side.sock.close()
 
 
 @dataclass(frozen=True, slots=True)
-class Address:
-    """Where a route listens and where it leads."""
+class RouteSpec:
+    """Where a route listens and where it forwards to."""
 
     name: str
-    spoken: str  # what is written down of what passes: "binary", "discovery" or nothing
+    protocol: str  # whose messages are recorded: "binary", "discovery" or empty
     listen: tuple[str, int]
     upstream: tuple[str, int]
-    source: str  # the host that the upstream sees as its peer; empty: the kernel's choice
+    source: str  # source host of connections to the upstream; empty: the kernel's choice
 
 
 class Route:
-    """One listening address, the party behind it, and the fault that is played between them."""
-
-    def __init__(self, proxy: Proxy, address: Address) -> None:
-        self.proxy, self.name, self.spoken = proxy, address.name, address.spoken
-        self.listen, self.upstream, self.source = address.listen, address.upstream, address.source
-        self.mode, self.held_toward = "pass", UPSTREAM
-        self.pairs: dict[Pair, None] = {}
-        self.fillers: list[socket.socket] = []
+    """One listening address, its upstream, and the fault that is simulated between them."""
+
+    def __init__(self, proxy: Proxy, spec: RouteSpec) -> None:
+        self.proxy, self.name, self.protocol = proxy, spec.name, spec.protocol
+        self.listen, self.upstream, self.source = spec.listen, spec.upstream, spec.source
+        self.mode, self.blocked_toward = "pass", UPSTREAM
+        self.connections: dict[ProxiedConnection, None] = {}
+        self.queue_fillers: list[socket.socket] = []
         self.listener: socket.socket | None = None
         self._open()
 
@@ -218,26 +221,26 @@
                 sock, _address = self.listener.accept()
             except OSError:
                 return
-            Pair(self, sock)  # the loop holds on to it
+            ProxiedConnection(self, sock)  # kept alive by the event loop
 
-    def set_mode(self, mode: str, held_toward: str = UPSTREAM, forget: bool = False) -> None:
-        """Play another fault from now on; ``ValueError`` for one that is not known."""
+    def set_mode(self, mode: str, blocked_toward: str = UPSTREAM, forget: bool = False) -> None:
+        """Switch to another mode; ``ValueError`` for an unknown one."""
         if mode not in MODES:
-            raise ValueError(f"no mode {mode!r}")
+            raise ValueError(f"unknown proxy mode {mode!r}")
         self._leave_mode()
-        self.mode, self.held_toward = mode, held_toward
+        self.mode, self.blocked_toward = mode, blocked_toward
         if mode == "vanish":
             self._fill_queue()
         elif mode == "refuse":
             self._stop_listening()
             self.reset()
-        for pair in list(self.pairs):
-            pair.forgotten = pair.forgotten or forget
-            pair.flush()
+        for connection in list(self.connections):
+            connection.silenced = connection.silenced or forget
+            connection.flush()
 
     def _leave_mode(self) -> None:
         if self.mode == "vanish":
-            self._stop_listening()  # with it goes the queue that held connections off
+            self._stop_listening()  # this also discards the full accept queue
             self._open()
         elif self.mode == "refuse":
             self._open()
@@ -247,64 +250,64 @@
             self.proxy.loop.unwatch(self.listener)
             self.listener.close()
             self.listener = None
-        for filler in self.fillers:
-            filler.close()
-        self.fillers = []
+        for connection in self.queue_fillers:
+            connection.close()
+        self.queue_fillers = []
 
     def _fill_queue(self) -> None:
-        """Fill the shortest accept queue that there is, so that the kernel answers no other connection."""
+        """Fill an accept queue of the minimum length, so that the kernel answers no other connection."""
         assert self.listener is not None
         self._accept(READ)
         self.proxy.loop.unwatch(self.listener)
         self.listener.listen(0)
-        for _ in range(FILLERS):
-            filler = socket.socket()
-            self.fillers.append(filler)
-            filler.settimeout(FILL_WAIT_S)
+        for _ in range(MAX_QUEUE_FILLERS):
+            connection = socket.socket()
+            self.queue_fillers.append(connection)
+            connection.settimeout(FILL_TIMEOUT_S)
             try:
-                filler.connect(self.listen)
+                connection.connect(self.listen)
             except OSError:
                 return  # the queue is full
 
     def reset(self) -> None:
-        for pair in list(self.pairs):
-            pair.reset()
+        for connection in list(self.connections):
+            connection.reset()
 
 
 class Proxy:
-    """All routes of one process, and the commands that change them."""
+    """All routes of the process, and the commands that change their modes."""
 
-    def __init__(self, loop: Loop, ledger: EventLog, addresses: list[Address]) -> None:
-        self.loop, self.ledger = loop, ledger
-        self.routes = {address.name: Route(self, address) for address in addresses}
+    def __init__(self, loop: Loop, event_log: EventLog, specs: list[RouteSpec]) -> None:
+        self.loop, self.event_log = loop, event_log
+        self.routes = {spec.name: Route(self, spec) for spec in specs}
 
-    def command(self, asked: Any) -> None:
-        """Carry out one command."""
-        route = self.routes[asked["route"]]
-        if asked["do"] == "reset":
+    def execute(self, command: Any) -> None:
+        """Execute one command."""
+        route = self.routes[command["route"]]
+        if command["do"] == "reset":
             route.reset()
         else:
-            route.set_mode(asked["do"], asked.get("toward", UPSTREAM), bool(asked.get("forget")))
-        self.ledger.record("fault", **asked)
+            route.set_mode(command["do"], command.get("toward", UPSTREAM), bool(command.get("forget")))
+        self.event_log.record("fault", **command)
 
 
-def address_of(text: str) -> Address:
-    """``NAME=HOST:PORT=HOST:PORT[=HOST]`` in parts; the name may say what is spoken: ``NAME/binary``."""
+def parse_route(text: str) -> RouteSpec:
+    """Parse ``NAME=HOST:PORT=HOST:PORT[=HOST]``; the name may contain the protocol: ``NAME/binary``."""
     name, listen, upstream, source = [*text.split("="), ""][:4]
-    name, _, spoken = name.partition("/")
-    return Address(name, spoken, parse_address(listen), parse_address(upstream), source)
+    name, _, protocol = name.partition("/")
+    return RouteSpec(name, protocol, parse_address(listen), parse_address(upstream), source)
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("routes", nargs="+", type=address_of)
+    parser.add_argument("routes", nargs="+", type=parse_route)
     parser.add_argument("--ledger", required=True)
-    given = parser.parse_args()
-    loop, ledger = Loop(), EventLog(given.ledger)
-    proxy = Proxy(loop, ledger, given.routes)
-    ledger.record("started")
-    read_commands(loop, proxy.command)
-    run_until_sigterm(loop, ledger)
+    arguments = parser.parse_args()
+    loop, event_log = Loop(), EventLog(arguments.ledger)
+    proxy = Proxy(loop, event_log, arguments.routes)
+    event_log.record("started")
+    read_commands(loop, proxy.execute)
+    run_until_sigterm(loop, event_log)
 
 
 if __name__ == "__main__":
--- a/arrowrail/lab/relay.py
+++ b/arrowrail/lab/relay.py
@@ -1,8 +1,10 @@
-"""A relay of datagrams between the instances of a group: it loses some, and splits the group when told.
+"""A UDP relay between the instances of a group: drops some datagrams, and partitions the group on command.
 
-``python -m arrowrail.lab.relay NAME=FRONT=BACK ...``: what comes to the port FRONT goes on to BACK.
-Instances send to one another's FRONT from their own BACK, which tells who sent.  Lines of JSON on its input:
-``{"cut": [NAMES], "both": true}`` and ``{"heal": true}``.
+``python -m arrowrail.lab.relay NAME=FRONT=BACK ...``: datagrams received on the port FRONT are forwarded to
+the port BACK.  Instances send to one another's FRONT from their own BACK, which identifies the sender.
+Commands are lines of JSON on its standard input: ``{"cut": [NAMES], "both": true}`` drops datagrams between
+the named instances and the others, with ``"both": false`` only those that the named ones send;
+``{"heal": true}`` ends the partition.
 """
 
 from __future__ import annotations
@@ -20,33 +22,35 @@
 
 
 class Relay:
+    """Forwards datagrams between instances, except those lost at random or by a partition."""
+
     def __init__(self, loop: Loop, routes: list[tuple[str, int, int]], loss: float, seed: int) -> None:
         self.loop, self.loss, self.random = loop, loss, random.Random(seed)
-        self.name_of = {back: name for name, _, back in routes}
-        self.cut: set[str] = set()
-        self.both = True
-        for name, front, back in routes:
+        self.name_by_port = {back: name for name, _, back in routes}
+        self.isolated: set[str] = set()
+        self.both_directions = True
+        for name, front_port, back_port in routes:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
-            sock.bind(("127.0.0.1", front))
-            loop.watch(sock, READ, partial(self._ready, sock, name, back))
+            sock.bind(("127.0.0.1", front_port))
+            loop.watch(sock, READ, partial(self._ready, sock, name, back_port))
 
-    def _ready(self, sock: socket.socket, to: str, back: int, _mask: int) -> None:
+    def _ready(self, sock: socket.socket, receiver: str, back_port: int, _mask: int) -> None:
         for _ in range(64):
             try:
                 data, (_host, port) = sock.recvfrom(2048)
             except OSError:
                 return
-            sender = self.name_of.get(port, "")
-            apart = (sender in self.cut) != (to in self.cut)
-            if apart and (self.both or sender in self.cut):
+            sender = self.name_by_port.get(port, "")
+            separated = (sender in self.isolated) != (receiver in self.isolated)
+            if separated and (self.both_directions or sender in self.isolated):
                 continue
             if self.random.random() >= self.loss:
-                sock.sendto(data, ("127.0.0.1", back))
+                sock.sendto(data, ("127.0.0.1", back_port))
 
-    def command(self, what: Any) -> None:
-        self.cut = set(what.get("cut", ()))
-        self.both = bool(what.get("both", True))
+    def execute(self, command: Any) -> None:
+        self.isolated = set(command.get("cut", ()))
+        self.both_directions = bool(command.get("both", True))
 
 
 def main() -> None:
@@ -54,11 +58,14 @@
     parser.add_argument("routes", nargs="+")
     parser.add_argument("--loss", type=float, default=0.0)
     parser.add_argument("--seed", type=int, default=1)
-    g = parser.parse_args()
-    routes = [(n, int(front), int(back)) for n, front, back in (r.split("=") for r in g.routes)]
+    arguments = parser.parse_args()
+    routes = [
+        (name, int(front), int(back))
+        for name, front, back in (route.split("=") for route in arguments.routes)
+    ]
     loop = Loop()
-    relay = Relay(loop, routes, g.loss, g.seed)
-    read_commands(loop, relay.command)
+    relay = Relay(loop, routes, arguments.loss, arguments.seed)
+    read_commands(loop, relay.execute)
     run_until_sigterm(loop, EventLog(os.devnull))
 
 
--- a/arrowrail/lab/unlimited.py
+++ b/arrowrail/lab/unlimited.py
@@ -1,4 +1,4 @@
-"""A sidecar that lets everything in: what the benchmark compares the limits with, on sockets."""
+"""A sidecar without limits, which the benchmark compares with one that has them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class UnlimitedLimiter(Limiter):
-    """Lets everything in and counts nothing."""
+    """Admits every set-up and counts nothing."""
 
     def admit(self, now: int, class_name: str, connection: object) -> AdmissionResult:
         return ADMITTED_RESULT
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,7 +1,6 @@
-"""Real processes for tests: the program as the platform starts it, between a test's callers and stand-in
-servers.
+"""Real processes for tests: a controller, started as the platform does, and stand-in servers.
 
-Each server stands behind a route of the project's proxy, so that a test can play faults of the network
+Each server is reached through a route of the fault-injecting proxy, so that a test can inject network faults
 between the controller and one server.
 """
 
@@ -18,60 +17,65 @@
 from arrowrail.lab.processes import ProcessManager, free_ports, is_listening, wait_until
 from tests.live import Caller
 
-HOLD_MS = 60_000  # far longer than the test: no call ends by itself
-NOWHERE = "127.0.0.1:9"  # discovery is down: nobody listens there
-CLASS = "check"  # what tests.live's callers ask for
+HOLD_MS = 60_000  # far longer than any test: no call ends by itself
+DISCOVERY_DOWN = "127.0.0.1:9"  # discovery is unreachable: nothing listens there
+CLASS = "check"  # the class of the calls that tests.live's callers place
 
 
 @dataclass(slots=True)
 class Scenario:
-    """One controller between a caller and servers, each behind its own route of the proxy."""
+    """A running controller and its servers, each reached through its own route of the proxy."""
 
     processes: ProcessManager
-    controller_port: int  # its port
+    controller_port: int
     exchange_count: int
 
     def inject_fault(self, route: str, mode: str, **more: object) -> float:
-        """Play a fault; returns the time at which it was asked for."""
+        """Inject a fault; returns the time at which the command was sent."""
         now = time.monotonic()
         self.processes.send_line("proxy", json.dumps({"route": route, "do": mode, **more}).encode())
         return now
 
     def establish_calls(self, caller: Caller, first: int, count: int, exchange: int) -> list[str]:
-        """Set calls up at an exchange; returns the ids of those that stand."""
-        standing = []
+        """Place calls to an exchange; returns the ids of the established ones."""
+        established = []
         for call in (f"{first + n:016x}" for n in range(count)):
             caller.invite(call, dest=exchange, patience=3000)
             if caller.answer(call).status == 200:
-                standing.append(call)
-        return standing
+                established.append(call)
+        return established
 
 
 @contextmanager
 def start_scenario(
     folder: Path, exchanges: int = 2, deadline_ms: int = 3000, hold_ms: int = HOLD_MS
 ) -> Iterator[Scenario]:
+    """Start a controller with one server per exchange, and end all processes afterwards."""
     ports = free_ports(2 * exchanges + 1)
-    inner, outer, controller = ports[:exchanges], ports[exchanges : 2 * exchanges], ports[-1]
+    server_ports, proxy_ports, controller_port = (
+        ports[:exchanges], ports[exchanges : 2 * exchanges], ports[-1],
+    )  # fmt: skip
     names = [f"s{n + 1}" for n in range(exchanges)]
     servers = tuple(
         Server(name, f"127.0.0.1:{port}", n + 1)
-        for n, (name, port) in enumerate(zip(names, outer, strict=True))
+        for n, (name, port) in enumerate(zip(names, proxy_ports, strict=True))
     )
     deployment = Deployment(classes=(CallClassConfig(CLASS, deadline_ms, hold_ms=HOLD_MS),), servers=servers)
     with ProcessManager(folder) as processes:
-        for name, port in zip(names, inner, strict=True):
-            processes.start(name, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{port}",
-                       "--ledger", str(folder / f"{name}.jsonl"), "--hold-ms", str(hold_ms))  # fmt: skip
+        for name, port in zip(names, server_ports, strict=True):
+            processes.start(
+                name, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{port}",
+                "--ledger", str(folder / f"{name}.jsonl"), "--hold-ms", str(hold_ms),
+            )  # fmt: skip
         routes = [
-            f"{name}=127.0.0.1:{front}=127.0.0.1:{back}"
-            for name, front, back in zip(names, outer, inner, strict=True)
+            f"{name}=127.0.0.1:{proxy_port}=127.0.0.1:{server_port}"
+            for name, proxy_port, server_port in zip(names, proxy_ports, server_ports, strict=True)
         ]
         processes.start("proxy", "arrowrail.lab.proxy", "--ledger", str(folder / "proxy.jsonl"), *routes)
-        for port in (*inner, *outer):
+        for port in (*server_ports, *proxy_ports):
             wait_until(lambda port=port: is_listening(port), "a server")  # type: ignore[misc]
-        told = controller_config(deployment, "n0", f"127.0.0.1:{controller}", NOWHERE)
-        environment = write_config(folder / "n0.json", told)
+        config = controller_config(deployment, "n0", f"127.0.0.1:{controller_port}", DISCOVERY_DOWN)
+        environment = write_config(folder / "n0.json", config)
         processes.start("n0", "arrowrail", environment=environment | {"ARROWRAIL_LOG": "DEBUG"})
-        wait_until(lambda: is_listening(controller), "the controller")
-        yield Scenario(processes, controller, exchanges)
+        wait_until(lambda: is_listening(controller_port), "the controller")
+        yield Scenario(processes, controller_port, exchanges)
