--- a/arrowrail/lab/bench.py
+++ b/arrowrail/lab/bench.py
@@ -182,7 +182,7 @@
 """
 
 
-def measure_on_sockets(what: str = "limits", seconds: float = 20.0, rate: float = 150.0) -> dict[str, Any]:
+def measure_on_sockets(feature: str = "limits", seconds: float = 20.0, rate: float = 150.0) -> dict[str, Any]:
     """Compare two sidecars under the same load on real sockets, one of them without limits or a group."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -201,25 +201,21 @@
                 f'  listen: sip: "127.0.0.1:{ports[2 + n]}"\n'
                 "  serves: [district.d]\n  calls: c: {give_up: 3s, time_out: 1300ms, pools: d: pool.p}\n"
                 "  limits: {open: 1000, rate: 1000/s}\n"
-                + (GROUP_SECTION.format(app=app, port=ports[2]) if what == "group" and app == "with" else "")
+                + (
+                    GROUP_SECTION.format(app=app, port=ports[2])
+                    if feature == "group" and app == "with"
+                    else ""
+                )
                 + "}\n"
             )
         with ProcessManager(folder) as processes:
             for n in range(2):
                 processes.start(
-                    f"e{n}",
-                    "arrowrail.lab.exchange",
-                    "--listen",
-                    f"127.0.0.1:{ports[n]}",
-                    "--ledger",
-                    str(folder / f"e{n}.jsonl"),
-                    "--circuits",
-                    "2000",
-                    "--hold-ms",
-                    "300",
-                )
+                    f"e{n}", "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{ports[n]}", "--ledger",
+                    str(folder / f"e{n}.jsonl"), "--circuits", "2000", "--hold-ms", "300",
+                )  # fmt: skip
             processes.start("with", "arrowrail", "sidecar", "with", "--config", str(conf))
-            if what == "group":
+            if feature == "group":
                 processes.start("without", "arrowrail", "sidecar", "without", "--config", str(conf))
             else:
                 processes.start("without", "arrowrail.lab.unlimited", "without", str(conf))
@@ -228,25 +224,10 @@
             before = {app: cpu_seconds(processes.running[app].pid) for app in ("with", "without")}
             for n, app in enumerate(("with", "without")):
                 processes.start(
-                    f"app-{app}",
-                    "arrowrail.lab.application",
-                    "--to",
-                    f"127.0.0.1:{ports[2 + n]}",
-                    "--ledger",
-                    str(folder / f"{app}.jsonl"),
-                    "--rate",
-                    str(rate),
-                    "--seconds",
-                    str(seconds),
-                    "--class",
-                    "c=1",
-                    "--number",
-                    "0",
-                    "--lines",
-                    "8",
-                    "--seed",
-                    str(n),
-                )
+                    f"app-{app}", "arrowrail.lab.application", "--to", f"127.0.0.1:{ports[2 + n]}",
+                    "--ledger", str(folder / f"{app}.jsonl"), "--rate", str(rate), "--seconds",
+                    str(seconds), "--class", "c=1", "--number", "0", "--lines", "8", "--seed", str(n),
+                )  # fmt: skip
             time.sleep(seconds + 1.5)
             cpu_used_s = {app: cpu_seconds(processes.running[app].pid) - before[app] for app in before}
             memory = {app: round(resident_mb(processes.running[app].pid), 1) for app in before}
@@ -254,7 +235,7 @@
     cost = {app: 1e6 * cpu_used_s[app] / max(1, answer_count[app]) for app in before}
     return {
         "calls that stood": answer_count,
-        f"us a call with {what}": round(cost["with"]),
+        f"us a call with {feature}": round(cost["with"]),
         "us a call without": round(cost["without"]),
         "ratio on sockets": round(cost["with"] / cost["without"], 3),
         "sidecar's memory, MB": memory["with"],
--- a/arrowrail/lab/checks.py
+++ b/arrowrail/lab/checks.py
@@ -135,8 +135,8 @@
         late = event["t"] > drained_ns + grace_ns + TOLERANCE_NS and (not until_ns or event["t"] < until_ns)
         if event["what"] == "set_up" and late:
             report.violations.append(
-                f"{exchange}: call {event['call']} came {(event['t'] - drained_ns) // MS} ms after the drain "
-                "was announced"
+                f"{exchange}: call {event['call']} arrived {(event['t'] - drained_ns) // MS} ms after the "
+                "drain was announced"
             )
 
 
--- a/arrowrail/lab/relay.py
+++ b/arrowrail/lab/relay.py
@@ -26,7 +26,7 @@
 
     def __init__(self, loop: Loop, routes: list[tuple[str, int, int]], loss: float, seed: int) -> None:
         self.loop, self.loss, self.random = loop, loss, random.Random(seed)
-        self.name_by_port = {back: name for name, _, back in routes}
+        self.name_by_port = {back_port: name for name, _, back_port in routes}
         self.isolated: set[str] = set()
         self.both_directions = True
         for name, front_port, back_port in routes:
@@ -60,8 +60,8 @@
     parser.add_argument("--seed", type=int, default=1)
     arguments = parser.parse_args()
     routes = [
-        (name, int(front), int(back))
-        for name, front, back in (route.split("=") for route in arguments.routes)
+        (name, int(front_port), int(back_port))
+        for name, front_port, back_port in (route.split("=") for route in arguments.routes)
     ]
     loop = Loop()
     relay = Relay(loop, routes, arguments.loss, arguments.seed)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -30,10 +30,10 @@
     controller_port: int
     exchange_count: int
 
-    def inject_fault(self, route: str, mode: str, **more: object) -> float:
+    def inject_fault(self, route: str, mode: str, **options: object) -> float:
         """Inject a fault; returns the time at which the command was sent."""
         now = time.monotonic()
-        self.processes.send_line("proxy", json.dumps({"route": route, "do": mode, **more}).encode())
+        self.processes.send_line("proxy", json.dumps({"route": route, "do": mode, **options}).encode())
         return now
 
     def establish_calls(self, caller: Caller, first: int, count: int, exchange: int) -> list[str]:
