--- a/arrowrail/cli/group.py
+++ b/arrowrail/cli/group.py
@@ -1,4 +1,4 @@
-"""``arrowrail members`` and ``arrowrail duties``: a running instance's state, over its control socket."""
+"""``arrowrail members`` and ``arrowrail duties``: state of an instance, read from its control socket."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 import typer
 
-ControlPath = Annotated[Path, typer.Argument(help="the instance's control socket, as its records name it")]
-JsonFlag = Annotated[bool, typer.Option("--json", help="for a program to read")]
+ControlPath = Annotated[Path, typer.Argument(help="the instance's control socket, as configured")]
+JsonFlag = Annotated[bool, typer.Option("--json", help="print the report as JSON")]
 TIMEOUT_S = 3.0
 
 
 def fetch_report(path: Path) -> dict[str, Any]:
-    """The instance's report; exit 1 with the reason where there is none."""
+    """The instance's report; exits with 1 and prints the reason if there is none."""
     import socket
 
     import orjson
@@ -36,7 +36,7 @@
 
 
 def members(control: ControlPath, as_json: JsonFlag = False) -> None:
-    """Who is in the group, as this instance knows it."""
+    """Show the members of the group as known to this instance."""
     import orjson
 
     report = fetch_report(control)
@@ -54,7 +54,7 @@
 
 
 def duties(control: ControlPath, as_json: JsonFlag = False) -> None:
-    """Where each duty belongs, whether this instance holds it, and what the last runs said."""
+    """Show where each duty is placed, whether this instance holds it, and its latest verdict."""
     import orjson
 
     report = fetch_report(control)
--- a/arrowrail/duties/__init__.py
+++ b/arrowrail/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Periodic duties of a group of instances: who is to run which, decided without I/O or clocks."""
+"""Periodic duties shared by a group of instances: which instance runs which, and when.  No I/O, no clocks."""
--- a/arrowrail/duties/probe_results.py
+++ b/arrowrail/duties/probe_results.py
@@ -1,8 +1,8 @@
-"""What members tell one another of their probes, and what it may do to routing.  No I/O.
+"""Probe results that members share, and how they affect routing.  No I/O.
 
-A hint is somebody else's news of some age.  It may take an exchange out of use only where it is fresh, and
-the exchange has failed several runs in a row; it never brings calls to an exchange that the list or the
-instance's own calls keep out, and never outlives its age.  The decision module chooses among what is left.
+Results of other members may take an exchange out of use only while they are recent and if several consecutive
+probes failed.  They never send calls to an exchange that the list or the instance's own calls exclude, and
+have no effect beyond their maximum age.  The decision module chooses among the remaining exchanges.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-FAILURE_THRESHOLD = 2  # runs in a row
-MAX_DUTIES = 20_000  # exchanges remembered
+FAILURE_THRESHOLD = 2  # consecutive failed probes
+MAX_DUTIES = 20_000  # exchanges whose results are kept
 UNKNOWN, ANSWERS, SILENT = "unknown", "answers", "silent"
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """A run of a probing duty, as its holder tells it."""
+    """The result of one run of a probing duty, as sent by the duty's holder."""
 
     duty: str
     holder: str
@@ -25,11 +25,13 @@
     run_number: int  # counts the holder's runs under the epoch
     passed: bool
     latency_ns: int
-    age_ns: int  # of the run, when this was sent
+    age_ns: int  # age of the run when this was sent
 
 
 @dataclass(slots=True)
 class LatestResult:
+    """The latest result of one duty, and the number of consecutive failures."""
+
     epoch: int
     run_number: int
     passed: bool
@@ -39,15 +41,15 @@
 
 
 class ProbeResults:
-    """The latest of each duty; an older epoch or run never takes the place of a newer one."""
+    """The latest result of each duty; one of an older epoch or run never replaces a newer one."""
 
     def __init__(self, max_age_ns: int) -> None:
         self.max_age_ns = max_age_ns
         self._latest: dict[str, LatestResult] = {}
-        self.stale_count = 0  # hints that came behind newer ones
+        self.stale_count = 0  # results that arrived after a newer one
 
     def record(self, now: int, result: ProbeResult) -> bool:
-        """Whether it is news."""
+        """Record a result; false if it is outdated or there is no room for it."""
         latest = self._latest.get(result.duty)
         if latest is not None and (result.epoch, result.run_number) <= (latest.epoch, latest.run_number):
             self.stale_count += 1
@@ -64,6 +66,7 @@
         return True
 
     def verdict(self, now: int, duty: str) -> str:
+        """UNKNOWN, ANSWERS or SILENT."""
         latest = self._latest.get(duty)
         if latest is None or now - latest.probed_at > self.max_age_ns:
             return UNKNOWN
@@ -72,6 +75,6 @@
         return SILENT if latest.consecutive_failures >= FAILURE_THRESHOLD else UNKNOWN
 
     def verdicts(self, now: int) -> Iterator[tuple[str, str, int, int, int]]:
-        """For operators: duty, verdict, epoch, run and age."""
+        """For diagnostics: duty, verdict, epoch, run number and age."""
         for duty, latest in sorted(self._latest.items()):
             yield duty, self.verdict(now, duty), latest.epoch, latest.run_number, now - latest.probed_at
--- a/arrowrail/duties/run_schedule.py
+++ b/arrowrail/duties/run_schedule.py
@@ -1,15 +1,16 @@
-"""When a duty is run: once a period, also over a change of its holder.  No I/O."""
+"""When a duty runs: once per period, also across a change of its holder.  No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-EARLY_DIVISOR = 10  # a tenth of the period: jitter, and what a hint's age may be wrong by
+# A run may be early by one tenth of the period, for jitter and the error of a result's age.
+EARLY_DIVISOR = 10
 
 
 @dataclass(slots=True)
 class RunSchedule:
-    """The runs of one duty by this holder under one epoch."""
+    """The runs of one duty by this instance under one epoch."""
 
     duty: str
     period_ns: int
@@ -18,24 +19,24 @@
     due_at: int = 0
 
     def set_epoch(self, now: int, epoch: int) -> None:
-        """Held under this epoch from now on: a new holder's first run is a whole period away.
+        """Start under a new epoch; the first run of a new holder is one whole period away.
 
-        The holder before may have run up to the end of its lease, and the news of it may have been lost with
-        whatever ended it.  Two runs close together are what the duty must not do to its exchange; one that
-        comes a little late is not.
+        The previous holder may have run the duty until its lease expired, and the news of that may be lost.
+        Two runs in quick succession would load the exchange twice; one that is a little late does no harm.
         """
         if epoch != self.epoch:
             self.epoch, self.run_number, self.due_at = epoch, 0, now + self.period_ns
 
     def clear_epoch(self) -> None:
+        """The lease is no longer held: nothing is due."""
         self.epoch = 0
 
     def start_next_run(self, now: int) -> int:
-        """The number of the run that begins now; 0: none is due."""
+        """The number of the run that begins now; 0 if none is due."""
         if not self.epoch or now < self.due_at:
             return 0
         self.run_number += 1
-        # Counted from when it was due; after a stop what was missed is left out.
+        # Counted from when the run was due; runs missed during a pause are skipped.
         self.due_at = max(
             self.due_at + self.period_ns, now + self.period_ns - self.period_ns // EARLY_DIVISOR
         )
--- a/arrowrail/group/__init__.py
+++ b/arrowrail/group/__init__.py
@@ -1,1 +1,1 @@
-"""One instance of a group: membership, leases and duties together, and what carries them."""
+"""One instance of a group: membership, leases and duties, and the runtime that carries their messages."""
--- a/arrowrail/group/config.py
+++ b/arrowrail/group/config.py
@@ -1,4 +1,4 @@
-"""What an instance of a group is told: plain values, made from the operator's records."""
+"""Settings of one instance of a group: plain values, made from the configuration records."""
 
 from __future__ import annotations
 
@@ -10,20 +10,22 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupConfig:
+    """Settings of one instance of a group."""
+
     group: str
-    name: str  # this instance's own
-    listen: str  # where the others reach it
-    bind: str  # its own socket
-    members: Mapping[str, str]  # those who grant leases: address by name
-    joining: Mapping[str, str]  # those who will, while the group changes
+    name: str  # of this instance
+    listen: str  # address at which the other instances reach it
+    bind: str  # address of the local socket
+    members: Mapping[str, str]  # voters that grant leases: address by name
+    joining: Mapping[str, str]  # voters after the current membership change: address by name
     seeds: tuple[str, ...]
     keys: Mapping[int, bytes]
-    send_key: int  # the one that is sent under
+    send_key: int  # number of the key that outgoing messages are signed with
     lease_ns: int
     drift_ppm: int
-    promise_dir: str  # the folder of promises; empty: none, and a start sits a lease out
-    control_path: str  # the control socket's path; empty: none
-    probe_period_ns: int  # of each exchange; 0: exchanges are not probed
+    promise_dir: str  # directory of stored promises; empty: none, and each start waits for one lease duration
+    control_path: str  # path of the control socket; empty: none
+    probe_period_ns: int  # for each exchange; 0: exchanges are not probed
     probe_time_out_ns: int
 
     def lease_config(self) -> LeaseConfig:
--- a/arrowrail/group/instance.py
+++ b/arrowrail/group/instance.py
@@ -1,7 +1,7 @@
-"""An instance's decisions taken together: who is there, who runs what, what is due.  No I/O.
+"""Decisions of one instance: members, lease holders, placement of duties, runs that are due.  No I/O.
 
-Messages come in as values with their sender's name; what has to leave, and what has to be kept first, is
-handed out.  The caller keeps promises safe before the messages of the same ``Out`` leave.
+Messages are passed in as values with their sender's name; promises to store and messages to send are
+returned.  The caller has to store the promises before it sends the messages of the same ``Effects``.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from arrowrail.membership.swim import Ack, Ping, PingRequest, Swim, SwimSettings, Sync
 
 DEFAULT_SWIM_SETTINGS = SwimSettings()
-RESULT_FANOUT = 16  # members that a hint is told to at once: in a larger group, that many drawn at random
+RESULT_FANOUT = 16  # members that a probe result is sent to; in a larger group that many are drawn at random
 LeaseMessage = AcquireRequest | Reply | Release
 Message = Ping | Ack | PingRequest | Sync | LeaseMessage | Batch | ProbeResult
 
 
 @dataclass(frozen=True, slots=True)
 class DutyRun:
-    """A run of a duty that may begin now, under the epoch that fences it."""
+    """A run of a duty that may begin now, under the epoch of its lease."""
 
     duty: str
     epoch: int
@@ -36,12 +36,16 @@
 
 @dataclass(slots=True)
 class Effects:
+    """What the caller has to do: store promises, send messages, start runs."""
+
     promises: dict[str, Promise] = field(default_factory=dict)
-    messages: list[tuple[str, str, Message]] = field(default_factory=list)  # address, name or "", what
+    messages: list[tuple[str, str, Message]] = field(default_factory=list)  # address, name or "", message
     runs: list[DutyRun] = field(default_factory=list)
 
 
 class Instance:
+    """Combines membership, leases and run schedules of one instance."""
+
     def __init__(
         self,
         config: GroupConfig,
@@ -61,13 +65,13 @@
         self.probe_results = ProbeResults(3 * max(config.probe_period_ns, 1))
         self.duties: tuple[str, ...] = ()
         self.schedules: dict[str, RunSchedule] = {}
-        self.shards: dict[str, str] = {}  # by duty: the lease that it is run under
-        self.placements: dict[str, str] = {}  # by shard: the member that is to hold it
+        self.shards: dict[str, str] = {}  # by duty: the lease under which it runs
+        self.placements: dict[str, str] = {}  # by shard: the member that should hold it
         self._members: tuple[str, ...] = ()
         self._needs_assignment = True
 
     def update_config(self, config: GroupConfig) -> None:
-        """A reload: other voters, keys, periods; what is held runs out under what it was granted by."""
+        """Use a new configuration after a reload; leases already held expire under the old one."""
         self.config = config
         self.lease_manager.update_config(config.lease_config())
         self.swim.seeds = [s for s in (*config.seeds, *config.members.values(), *config.joining.values())
@@ -79,7 +83,7 @@
         self._needs_assignment = True
 
     def held_epoch(self, duty: str, now: int) -> int:
-        """The epoch under which a duty may be run at this moment; 0: it may not."""
+        """The epoch under which the duty may run now; 0 if its lease is not held."""
         return self.lease_manager.held_epoch(self.shards.get(duty, ""), now)
 
     # --- Time and messages ------------------------------------------------------------------------------
@@ -151,11 +155,11 @@
     # --- Runs -------------------------------------------------------------------------------------------
 
     def is_current(self, now: int, run: DutyRun) -> bool:
-        """Asked again right before anything leaves: the lease may have passed since it was due."""
+        """Whether the lease still allows the run; to be checked again right before anything is sent."""
         return self.held_epoch(run.duty, now) == run.epoch
 
     def run_finished(self, now: int, run: DutyRun, passed: bool, latency_ns: int) -> Effects:
-        """A run is over: heard here, and told to the others."""
+        """Record the result of a run and tell the other members."""
         result = ProbeResult(run.duty, self.config.name, run.epoch, run.number, passed, latency_ns, 0)
         self.probe_results.record(now, result)
         others = [name for name in self._members if name != self.config.name]
@@ -166,7 +170,7 @@
         return effects
 
     def leave(self, now: int) -> Effects:
-        """Before the end: duties are given back, and the others told."""
+        """Release all duties and tell the other members, before the instance stops."""
         effects = Effects()
         self._add_lease_messages(self.lease_manager.set_wanted((), now), effects)
         effects.messages += [(address, "", message) for address, message in self.swim.leave()]
--- a/arrowrail/group/runtime.py
+++ b/arrowrail/group/runtime.py
@@ -1,4 +1,4 @@
-"""The group on the loop: its socket, its memory of promises, its control socket, and the probes."""
+"""The group on the event loop: its socket, its stored promises, its control socket, and the probes."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from arrowrail.wire.group.transport import Transport
 
 TICK_NS = 100 * MS
-StartProbe = Callable[[DutyRun, Callable[[bool], None]], bool]  # starts one; false: it can't leave
+StartProbe = Callable[[DutyRun, Callable[[bool], None]], bool]  # starts a probe; false if it cannot be sent
 
 
 def load_promises(path: Path) -> dict[str, Promise] | None:
-    """What was promised before; ``None`` where nothing is there or it can't be read."""
+    """The stored promises; ``None`` if there are none or they cannot be read."""
     try:
         raw = msgspec.msgpack.decode(path.read_bytes())
         return {
@@ -45,6 +45,8 @@
 
 
 class GroupRuntime:
+    """Runs an ``Instance``: receives and sends its messages, stores its promises, starts its probes."""
+
     def __init__(self, loop: Loop, config: GroupConfig, start_probe: StartProbe, seed: int) -> None:
         self.loop, self.config, self.start_probe = loop, config, start_probe
         self.boot, self.sequence = time.time_ns(), 0
@@ -54,12 +56,13 @@
             path = Path(config.promise_dir) / f"{config.name}.promises"
             stored = load_promises(path)
             self.promise_file = FileWriter(loop, path)
-        # Without memory, epochs begin above all that a life before this second can have used.
+        # Without stored promises, epochs begin above all that a process started before this second can have
+        # used.
         min_epoch = 0 if stored is not None else (self.boot // 10**9) << 20
         self.instance = Instance(config, loop.now, seed, stored, min_epoch)
         self.scheduler = Scheduler(Budgets(), seed, loop.now)
         self.replay_filter = ReplayFilter()
-        self.dropped: dict[str, int] = {}  # datagrams that were not taken, by reason
+        self.dropped: dict[str, int] = {}  # dropped datagrams, by reason
         self.transport = Transport(loop, config.bind, self._on_datagram)
         self.control_socket = (
             ControlSocket(loop, config.control_path, self.report) if config.control_path else None
@@ -75,7 +78,7 @@
     def set_duties(self, duties: Iterable[str]) -> None:
         self.instance.set_duties(duties)
 
-    # --- The turn ---------------------------------------------------------------------------------------
+    # --- Event loop iteration ---------------------------------------------------------------------------
 
     def _tick(self) -> None:
         if self._closing:
@@ -84,7 +87,7 @@
         self.loop.timers.schedule(self.loop.now + TICK_NS, self._tick)
 
     def run_background(self, busy: bool) -> None:
-        """Once a turn of the loop, after the calls."""
+        """To be called once per event loop iteration, after the calls have been handled."""
         if self.scheduler.jobs:
             self.scheduler.run_iteration(self.loop.now, time.monotonic_ns, busy)
             due = self.scheduler.next_due_at(self.loop.now)
@@ -99,7 +102,8 @@
         has_lease_messages = any(
             isinstance(message, AcquireRequest | Reply | Batch) for _, _, message in effects.messages
         )
-        # While a promise is being written, what may rest on it waits for the same write or the next.
+        # While promises are being written, lease messages that may depend on them wait for that write or
+        # the next one.
         if self.promise_file is not None and (
             effects.promises or (has_lease_messages and self.promise_file.writing)
         ):
@@ -145,7 +149,7 @@
     # --- Runs -------------------------------------------------------------------------------------------
 
     def _probe_slices(self, run: DutyRun) -> SliceGenerator:
-        """One probe.  The clock of the turn is the latest that was read: a lease that is over stops it."""
+        """One probe; not sent if the lease has expired by the latest reading of the loop's clock."""
         yield
         started_at = self.loop.now
         if not self.instance.is_current(started_at, run):
@@ -158,7 +162,7 @@
             self.probes_started += 1
 
     def report(self) -> dict[str, object]:
-        """For operators, over the control socket."""
+        """The report served on the control socket."""
         now, instance = self.loop.now, self.instance
         return {
             "group": self.config.group, "name": self.config.name, "dropped": self.dropped,
@@ -187,7 +191,7 @@
 
 
 class ControlSocket:
-    """A Unix socket that says the state of the instance to whoever may open it, and closes."""
+    """A Unix socket that sends each client the instance's report and closes the connection."""
 
     def __init__(self, loop: Loop, path: str, report: Callable[[], dict[str, object]]) -> None:
         self.loop, self.path, self.report = loop, path, report
@@ -195,7 +199,7 @@
             os.unlink(path)
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.sock.setblocking(False)
-        old_umask = os.umask(0o177)  # its owner only
+        old_umask = os.umask(0o177)  # accessible to its owner only
         try:
             self.sock.bind(path)
         finally:
--- a/arrowrail/lab/modelcheck.py
+++ b/arrowrail/lab/modelcheck.py
@@ -1,13 +1,14 @@
-"""An exhaustive check of the lease protocol within bounds: every order of steps, losses, crashes and clocks.
+"""Exhaustive check of the lease protocol within bounds: all orders of steps, losses, crashes, clock rates.
 
-The states are the protocol's own values (``leases``), not a model of them.  From a start state every step
-that can be taken is taken, breadth first, each state once: an instance asks or renews, time goes on, a
-message arrives, is lost or arrives twice, an instance crashes and starts again, a holder gives back.  In
-no state may two instances hold one duty, and no epoch may ever have been held by two.
+The states are made of the protocol's own values (``leases``), not of a model of them.  From a start state
+every possible step is taken, breadth first, each state once: an instance requests or renews, time advances, a
+message arrives, is lost or arrives twice, an instance crashes and restarts, a holder releases.  In no state
+may two instances hold one duty, and no epoch may ever be held by two.
 
-Time goes on in ticks; in a tick each clock moves by its own rate, so that clocks drift apart by the stated
-bound.  Only differences of time matter, so every state is shifted back to one clock reading: what would go on
-for ever comes round.  ``Broken`` leaves one safeguard out; the check has to find what it is for.
+Time advances in ticks; in each tick every clock moves by its own rate, so that clocks drift apart by the
+stated bound.  Only time differences matter, so every state is shifted back to one clock reading, which makes
+recurring states equal.  ``DisabledSafeguards`` leaves out one safeguard; the check has to find the violation
+it prevents.
 """
 
 from __future__ import annotations
@@ -31,21 +32,21 @@
     restore_promise,
 )
 
-NOMINAL, SLOW, FAST = 4, 3, 5  # what a clock moves in a tick
-DRIFT_PPM = 250_000  # so that SLOW and FAST are at the bound
-PROMISE_DURATION = 8  # of a promise: two ticks of a nominal clock
+NOMINAL, SLOW, FAST = 4, 3, 5  # clock units per tick
+DRIFT_PPM = 250_000  # makes SLOW and FAST the extremes of the bound
+PROMISE_DURATION = 8  # two ticks of a nominal clock
 INSTANCES = ("a", "b", "c")
-CANDIDATES = 2  # a and b ask; c grants only
-BASE_TIME = 1000  # what every clock reads in every state
+CANDIDATES = 2  # a and b request leases; c is a voter only
+BASE_TIME = 1000  # reading of every clock in every state
 
 
 @dataclass(frozen=True, slots=True)
 class DisabledSafeguards:
-    """Safeguards that are left out."""
+    """Safeguards of the protocol that are left out."""
 
-    no_margin: bool = False  # a holder counts on the whole length of a promise
+    no_margin: bool = False  # a holder relies on the whole duration of a promise
     no_quorum: bool = False  # one vote is enough
-    no_memory: bool = False  # a promise is forgotten in a crash, and nothing is sat out
+    no_memory: bool = False  # promises are lost in a crash, and the restarted voter grants at once
 
 
 ALL_SAFEGUARDS = DisabledSafeguards()
@@ -53,9 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
+    """Limits of the search."""
+
     duties: int = 1
     depth: int = 10
-    max_in_flight: int = 2  # asks are made while fewer messages are on their way
+    max_in_flight: int = 2  # requests are sent only while fewer messages are in flight
     epochs: int = 2
     duplicates: int = 0
     crashes: int = 1
@@ -64,6 +67,8 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlight:
+    """A message between two instances that has not arrived yet."""
+
     sender: int
     receiver: int
     message: AcquireRequest | Reply | Release
@@ -71,16 +76,22 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    promises: tuple[tuple[Promise, ...], ...]  # by instance, by duty
+    """One state of the protocol; clocks read BASE_TIME in it."""
+
+    promises: tuple[tuple[Promise, ...], ...]  # by instance, then by duty
     claims: tuple[tuple[Claim, ...], ...]
     in_flight: frozenset[InFlight] = frozenset()
-    held_epochs: frozenset[tuple[int, int, int]] = frozenset()  # duty, epoch, holder: held at some time
+    held_epochs: frozenset[tuple[int, int, int]] = (
+        frozenset()
+    )  # (duty, epoch, holder) that were held at some time
     duplicates: int = 0
     crashes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class CheckResult:
+    """Number of states visited, and the first violation with the steps that lead to it."""
+
     states: int
     violation: str = ""
     trace: tuple[str, ...] = ()
@@ -100,7 +111,7 @@
 
 
 class WeakenedConfig(LeaseConfig):
-    """Terms with a safeguard left out."""
+    """Lease configuration with a safeguard left out."""
 
     __slots__ = ()
     disabled = DisabledSafeguards()
@@ -116,6 +127,8 @@
 
 
 class Checker:
+    """Searches all states reachable under one combination of clock rates."""
+
     def __init__(
         self, rates: tuple[int, ...], bounds: Bounds, disabled: DisabledSafeguards = ALL_SAFEGUARDS
     ) -> None:
@@ -221,7 +234,7 @@
                 )
         for packet in sorted(
             state.in_flight, key=_packet_sort_key
-        ):  # a set's own order changes from run to run
+        ):  # sorted because the order of a set changes from run to run
             message_type = type(packet.message).__name__.lower()
             label = f"{message_type} {INSTANCES[packet.sender]} to {INSTANCES[packet.receiver]}"
             remaining = replace(state, in_flight=state.in_flight - {packet})
@@ -235,7 +248,7 @@
                 yield f"{INSTANCES[instance]} crashes and starts", self._restart(state, instance)
 
     def _advance_clocks(self, state: State) -> State:
-        """Each clock moves by its rate, and everything is shifted back by it."""
+        """Advance each clock by its rate, and shift all times back by it."""
         promises = tuple(
             tuple(
                 replace(p, expires_at=max(0, p.expires_at - rate) if p.expires_at - rate > BASE_TIME else 0)
@@ -314,7 +327,7 @@
         return self._with_claim(state, receiver, duty_index, replace(claim, not_before=0))
 
     def _restart(self, state: State, instance: int) -> State:
-        """What it held is lost; what it promised is read back, or sat out, or (broken) forgotten."""
+        """Leases held are lost; promises are read back, or lost if that safeguard is disabled."""
         restored: tuple[Promise, ...]
         if self.disabled.no_memory:
             restored = (NO_PROMISE,) * len(self.duties)
@@ -338,7 +351,7 @@
 def check(
     bounds: Bounds, disabled: DisabledSafeguards = ALL_SAFEGUARDS, rates: tuple[tuple[int, ...], ...] = RATES
 ) -> CheckResult:
-    """Over several combinations of clock rates; the first breach, or all states that were visited."""
+    """Check several combinations of clock rates; the first violation ends the check."""
     total, complete = 0, True
     for clock_rates in rates:
         result = Checker(clock_rates, bounds, disabled).run()
--- a/arrowrail/lab/simgroup.py
+++ b/arrowrail/lab/simgroup.py
@@ -1,7 +1,7 @@
-"""A group's decisions in simulated time, at sizes that no machine here could run as processes.
+"""Simulated groups, at sizes that would not fit on one machine as processes; used by the benchmark.
 
-Used by the benchmark: messages and bytes an instance a second, how soon a death is found and its duties
-are held again, false suspicions, duties moved.  Voters are a fixed few; the others do everything else too.
+Measures messages and bytes per instance and second, the time until a failure is detected and its duties are
+held again, false suspicions, and duties moved.  A fixed few instances are voters; the others do all the rest.
 """
 
 from __future__ import annotations
@@ -23,6 +23,8 @@
 
 
 class SimGroup:
+    """A group of instances on a simulated network."""
+
     def __init__(self, size: int, duties: int, seed: int, period_ns: int) -> None:
         self.network, self.seed, self.period_ns = SimNetwork(seed), seed, period_ns
         self.names = [f"i{n}" for n in range(size)]
@@ -30,7 +32,7 @@
         self.shards = {shard_of(duty) for duty in self.duties}
         self.stored_promises: dict[str, dict[str, Promise]] = {}
         self.instances: dict[str, Instance] = {}
-        self.death_heard_at: dict[str, int] = {}  # by who heard it: when
+        self.death_heard_at: dict[str, int] = {}  # by instance: when it first heard of the death
         self.suspicions = 0
         for name in self.names:
             self.start(name)
@@ -64,7 +66,7 @@
     def apply_effects(self, name: str, effects: Effects) -> None:
         self.stored_promises[name] |= effects.promises
         for address, receiver, message in effects.messages:
-            # Every 16th is encoded for its size: enough for a mean, and quick.
+            # Every 16th message is encoded for its size: enough for the mean, and fast.
             count = self.network.messages_sent.get(name, 0)
             size = 16 * len(encode(KEYS, 1, ("g", name, receiver, 1, 1), message)) if count % 16 == 0 else 0
             self.network.send(name, address, message, size)
@@ -85,7 +87,7 @@
 
 
 def traffic(size: int, duties: int, seconds: float, seed: int = 1) -> dict[str, Any]:
-    """A calm group, then a death: rates an instance, and how soon it is known and made good."""
+    """A steady group, then the failure of one instance: message rates, detection and takeover times."""
     group = SimGroup(size, duties, seed, 10 * S)
     group.run(20 + size / 10)
     group.network.messages_sent.clear()
@@ -119,7 +121,7 @@
 
 
 def movement(size: int, duties: int = 10_000) -> dict[str, Any]:
-    """Duties that one death moves, against those that were its own."""
+    """How many duties one failure moves, compared with the failed instance's own."""
     names = [f"i{n}" for n in range(size)]
     duty_names = [f"probe:{n}" for n in range(duties)]
     before = assign(duty_names, names)
--- a/arrowrail/lab/simnet.py
+++ b/arrowrail/lab/simnet.py
@@ -1,7 +1,7 @@
-"""Seeded time and network for decisions that are free of both: one true clock, many wrong ones.
+"""Simulated network and clocks for testing decision code: one true time, and a drifting clock per node.
 
-A node is anything with a name; what is sent to it arrives late, twice, out of order or never, as the seed and
-the faults in force say.  Nothing here sleeps: a simulated hour takes as long as its events.
+Messages are delayed, duplicated, reordered or lost as drawn from the seed and the faults in force.  Nothing
+sleeps: a simulated hour takes as long as its events.
 """
 
 from __future__ import annotations
@@ -18,31 +18,33 @@
 
 @dataclass(slots=True)
 class SimClock:
-    """An instance's own clock: it began anywhere and runs too fast or too slow."""
+    """A node's clock with an arbitrary offset and a rate error."""
 
     offset: int = 0
     drift_ppm: int = 0
     stopped_at: int | None = (
-        None  # true time since which the instance does nothing (SIGSTOP); the clock goes on
+        None  # true time since which the node is stopped (as by SIGSTOP); its clock goes on
     )
 
     def read(self, true_time: int) -> int:
         return self.offset + true_time * (MILLION + self.drift_ppm) // MILLION
 
     def true_until(self, true_time: int, local_time: int) -> int:
-        """True time at which this clock will read ``local``, and not sooner."""
+        """The earliest true time at which this clock reads at least ``local_time``."""
         left = max(0, local_time - self.read(true_time))
         return true_time + left * MILLION // (MILLION + self.drift_ppm) + 1
 
 
 @dataclass(slots=True)
 class NetworkFaults:
+    """Faults in force."""
+
     loss_rate: float = 0.0
     duplicate_rate: float = 0.0
     delay_range_ns: tuple[int, int] = (MS, 20 * MS)
-    spike_rate: float = 0.0  # share that takes ``late_by`` more
+    spike_rate: float = 0.0  # share of messages delayed by ``spike_ns`` more
     spike_ns: int = 2 * S
-    blocked: set[tuple[str, str]] = field(default_factory=set)  # from, to: nothing passes
+    blocked: set[tuple[str, str]] = field(default_factory=set)  # (sender, receiver): nothing is delivered
 
     def partition(self, side_a: set[str], side_b: set[str], both_ways: bool = True) -> None:
         self.blocked |= {(a, b) for a in side_a for b in side_b}
@@ -54,6 +56,8 @@
 
 
 class SimNetwork:
+    """Delivers messages between named nodes in simulated time."""
+
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.now = 0
@@ -99,7 +103,7 @@
         if receive is None:
             return
         stopped = self.clocks[receiver].stopped_at
-        if stopped is not None:  # it waits in the socket until the instance goes on
+        if stopped is not None:  # waits in the socket until the node continues
             self.schedule(self.now + 50 * MS, lambda: self._arrive(sender, receiver, message))
             return
         receive(sender, message)
--- a/arrowrail/leases/__init__.py
+++ b/arrowrail/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Who may run a duty: leases that a majority grants, decided without I/O or clocks."""
+"""Leases granted by a majority of voters decide which instance runs a duty.  No I/O, no clock access."""
--- a/arrowrail/leases/batch.py
+++ b/arrowrail/leases/batch.py
@@ -1,4 +1,4 @@
-"""Lease messages to one instance, taken together, so that a group's traffic does not grow with its duties."""
+"""Batching of lease messages by receiver, so that traffic does not grow with the number of duties."""
 
 from __future__ import annotations
 
@@ -7,13 +7,15 @@
 
 from arrowrail.leases.promise import AcquireRequest, Release, Reply
 
-MAX_BATCH_BYTES = 1100  # of a batch, as estimated: a datagram has 1,400
-MESSAGE_OVERHEAD_BYTES = 36  # bytes of a message beside its names
+MAX_BATCH_BYTES = 1100  # estimated size of a batch; a datagram is at most 1,400 bytes
+MESSAGE_OVERHEAD_BYTES = 36  # bytes of a message besides its names
 Message = AcquireRequest | Reply | Release
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
+    """Lease messages to one receiver, sent in one datagram."""
+
     messages: tuple[Message, ...]
 
 
@@ -23,7 +25,7 @@
 
 
 def pack_batches(messages: Iterable[tuple[str, Message]]) -> Iterator[tuple[str, Message | Batch]]:
-    """By receiver, in the order in which they were made; one alone goes as it is."""
+    """Group messages by receiver, keeping their order; a single message is sent without a batch around it."""
     by_receiver: dict[str, list[Message]] = {}
     for name, message in messages:
         by_receiver.setdefault(name, []).append(message)
--- a/arrowrail/leases/manager.py
+++ b/arrowrail/leases/manager.py
@@ -1,7 +1,7 @@
-"""All leases of one instance: its promises as a grantor, its claims as a candidate.
+"""All leases of one instance: its promises as a voter and its claims as a candidate or holder.
 
-Messages come in and go out as values.  What was promised is handed out with the replies that depend on it, so
-that the edge keeps it safe first; ``None`` there means that nothing new has to be kept.
+Messages are passed in and returned as values.  New promises are returned together with the replies that
+depend on them; the caller has to store the promises before it sends the messages.
 """
 
 from __future__ import annotations
@@ -24,22 +24,24 @@
     restore_promise,
 )
 
-MAX_PROMISES = 20_000  # promises that a grantor keeps
+MAX_PROMISES = 20_000  # promises that a voter keeps
 Message = AcquireRequest | Reply | Release
 
 
 @dataclass(slots=True)
 class Outbox:
-    """What has to be kept safe, and what may leave once it is."""
+    """Promises to store, and messages that may be sent once the promises are stored."""
 
     promises: dict[str, Promise] = field(default_factory=dict)
-    messages: list[tuple[str, Message]] = field(default_factory=list)  # to, what
+    messages: list[tuple[str, Message]] = field(default_factory=list)  # receiver, message
 
     def __bool__(self) -> bool:
         return bool(self.promises or self.messages)
 
 
 class LeaseManager:
+    """Grants leases to other instances and holds leases for the wanted duties."""
+
     def __init__(
         self,
         name: str,
@@ -49,9 +51,10 @@
         stored: Mapping[str, Promise] | None,
         min_epoch: int = 0,
     ) -> None:
-        """``kept``: promises read back at the start; ``None``: no memory, so it sits a full promise out.
+        """Start with the promises read back from storage.
 
-        ``floor``: an epoch that no earlier life of this group without memory can have reached.
+        ``stored`` is ``None`` if there are none: then nothing is granted for one full promise duration.
+        ``min_epoch`` is an epoch that no earlier run of the group without stored promises can have reached.
         """
         self.name, self.config, self.min_epoch = name, config, min_epoch
         self.random = random.Random(seed)
@@ -63,12 +66,12 @@
             self.promises = {duty: restore_promise(promise, now) for duty, promise in stored.items()}
         self.claims: dict[str, Claim] = {}
         self.wanted: set[str] = set()
-        self.dropped_requests = 0  # asks for more duties than are kept
+        self.dropped_requests = 0  # requests dropped because of MAX_PROMISES
 
-    # --- What the instance wants ------------------------------------------------------------------------
+    # --- Wanted duties ----------------------------------------------------------------------------------
 
     def set_wanted(self, duties: Iterable[str], now: int) -> Outbox:
-        """The duties that this instance is to run from now on; others are given back."""
+        """Set the duties that this instance is to hold from now on; leases of others are released."""
         outbox = Outbox()
         self.wanted = set(duties)
         for duty in sorted(self.claims.keys() - self.wanted):
@@ -79,13 +82,13 @@
             else:
                 del self.claims[duty]
         for duty in sorted(self.wanted - self.claims.keys()):
-            # Not all at once, nor in step with the others that lost the same instance.
-            pause = self.random.randrange(self.config.reply_timeout_ns)
-            self.claims[duty] = Claim(duty, self.name, not_before=now + pause)
+            # A random delay, so that instances do not all request the leases of a failed instance at once.
+            delay_ns = self.random.randrange(self.config.reply_timeout_ns)
+            self.claims[duty] = Claim(duty, self.name, not_before=now + delay_ns)
         return outbox
 
     def held_epoch(self, duty: str, now: int) -> int:
-        """The epoch under which a duty may be run at this moment; 0: it may not."""
+        """The epoch under which the duty may run now; 0 if the lease is not held."""
         claim = self.claims.get(duty)
         return claim.epoch if claim is not None and claim_ops.is_held(claim, now) else 0
 
@@ -96,17 +99,17 @@
 
     def tick(self, now: int) -> Outbox:
         outbox = Outbox()
-        # Renewals fall together, so that they travel together: whoever is half way to its own goes along.
+        # Renewals are grouped to share datagrams: with one due, those half way to their renewal go along.
         early_ns = self.config.holder_duration_ns - self.config.renew_after_ns // 2
         any_due = any(claim_ops.needs_renewal(claim, now, self.config) for claim in self.claims.values())
         for duty, claim in list(self.claims.items()):
-            pause = self.config.reply_timeout_ns // 2 + self.random.randrange(
+            backoff_ns = self.config.reply_timeout_ns // 2 + self.random.randrange(
                 2 * self.config.reply_timeout_ns
             )
-            before, claim = claim, claim_ops.advance_time(claim, now, self.config, pause)
+            before, claim = claim, claim_ops.advance_time(claim, now, self.config, backoff_ns)
             if before.phase == claim_ops.ASKING and claim.phase == claim_ops.IDLE:
-                # Guards against two candidates that each got some votes keeping one another out for as long
-                # as those promises last.
+                # Releases the votes of a failed round: otherwise two candidates with some votes each would
+                # block one another until those promises expire.
                 self._send_to_voters(outbox, Release(duty, self.name, before.epoch), now)
             if claim.phase == claim_ops.IDLE and duty not in self.wanted:
                 del self.claims[duty]
@@ -154,9 +157,8 @@
         if after is not before:
             self.promises[request.duty] = after
             if (after.epoch, after.holder) != (before.epoch, before.holder):
-                outbox.promises[request.duty] = (
-                    after  # a longer time alone is not kept: a restart runs it anew
-                )
+                # A later expiry alone is not stored: a restart restores promises with their full duration.
+                outbox.promises[request.duty] = after
         outbox.messages.append((sender, reply))
 
     def _send_to_voters(self, outbox: Outbox, message: AcquireRequest | Release, now: int) -> None:
@@ -167,14 +169,14 @@
             own_outbox = self.receive(now, self.name, message)
             outbox.promises |= own_outbox.promises
             for _, reply in own_outbox.messages:
-                # The own vote counts as soon as it is given: the edge keeps it before anything leaves.
+                # The instance's own vote counts at once: the caller stores it before it sends anything.
                 self.receive(now, self.name, reply)
 
-    # --- The group changes ------------------------------------------------------------------------------
+    # --- Membership changes -----------------------------------------------------------------------------
 
     def update_config(self, config: LeaseConfig) -> None:
-        """Other terms from now on; what is held under the old ones runs out under them.
+        """Use another configuration from now on; leases held under the old one expire under it.
 
-        A round carries the length that it asks for, so that askers and grantors need not change at once.
+        A request carries the duration it asks for, so requesters and voters need not change at the same time.
         """
         self.config = config
--- a/arrowrail/membership/__init__.py
+++ b/arrowrail/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the group: failure detection and gossip, decided without I/O or clocks."""
+"""Group membership: failure detection and gossip.  No I/O, no clock access."""
--- a/arrowrail/membership/replay.py
+++ b/arrowrail/membership/replay.py
@@ -1,28 +1,31 @@
-"""Which messages of the group are believed: of their sender's present life, and each once."""
+"""Replay protection: accepts each message once, and only from the current run of its sender."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-WINDOW_SIZE = 256  # of a sender's latest messages, that may come in any order
+WINDOW_SIZE = 256  # latest sequence numbers of a sender that may arrive out of order
 MAX_SENDERS = 1024
 FRESH, OLD, DUPLICATE, FULL = "fresh", "old", "again", "full"
 
 
 @dataclass(slots=True)
 class SenderWindow:
-    boot: int  # when its present life began, by its own wall clock: a later life has a greater one
-    highest: int = 0  # highest number seen
-    seen_bits: int = 0  # bit n: top - n was seen
+    """The sequence numbers seen from one run of a sender."""
+
+    boot: int  # start time of the sender's run by its own wall clock; a later run has a greater one
+    highest: int = 0  # highest sequence number seen
+    seen_bits: int = 0  # bit n: highest - n was seen
 
 
 class ReplayFilter:
-    """A window over each sender's numbers; a new life starts a new one, an earlier life is old."""
+    """A sliding window over each sender's sequence numbers; a restarted sender gets a new window."""
 
     def __init__(self) -> None:
         self._senders: dict[str, SenderWindow] = {}
 
     def check(self, sender_name: str, boot: int, sequence: int) -> str:
+        """FRESH if the message is to be accepted; otherwise the reason to drop it."""
         window = self._senders.get(sender_name)
         if window is None or boot > window.boot:
             if window is None and len(self._senders) >= MAX_SENDERS:
--- a/arrowrail/membership/swim.py
+++ b/arrowrail/membership/swim.py
@@ -1,12 +1,14 @@
-"""Who is in the group: SWIM with suspicion, refutation by incarnation and piggy-backed gossip.  No I/O.
+"""Group membership: SWIM with suspicion, refutation by incarnation and piggybacked gossip.  No I/O.
 
-After Das, Gupta and Motivala ("SWIM", 2002) and Dadgar, Phillips and Currey ("Lifeguard", 2018): each period
-one member is probed, directly and then through others; who does not answer is suspected, and dead unless it
-refutes in time.  What is known of a member is a point in one order, (incarnation, state): the greater one
-wins, whoever tells it, however late and however often.  So all who hear the same come to the same view.
+After Das, Gupta and Motivala ("SWIM", 2002) and Dadgar, Phillips and Currey ("Lifeguard", 2018): in each
+period one member is probed, first directly and then through other members.  A member that does not answer is
+suspected, and declared dead unless it refutes the suspicion in time.  Rumours about a member are totally
+ordered by (incarnation, state) and the greatest wins, in whatever order and however often they arrive:
+instances that have received the same rumours have the same view.
 
-An instance that is slow itself waits longer before it judges others, and one that stood still judges nobody
-by what it missed.  Splits heal because the dead are asked now and then.
+An instance that is slow itself waits longer before it suspects others, and one that was paused suspects
+nobody for the messages it missed.  Network partitions heal because dead members are contacted from time to
+time.
 """
 
 from __future__ import annotations
@@ -25,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rumour:
-    """What somebody says of a member."""
+    """An update about a member's state, spread by gossip."""
 
     name: str
     address: str
@@ -39,6 +41,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
+    """Direct probe of a member."""
+
     sequence: int
     sender: str
     sender_address: str
@@ -47,6 +51,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
+    """Answer to a probe."""
+
     sequence: int
     sender: str
     rumours: tuple[Rumour, ...] = ()
@@ -54,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Ask another to probe a member; it passes the answer on under the number."""
+    """Asks another member to probe the target and to return the answer under this sequence number."""
 
     sequence: int
     sender: str
@@ -66,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """A part of all that is known; ``answer``: the same is wanted back."""
+    """A part of the sender's membership list; ``reply_wanted`` asks for the receiver's list in return."""
 
     sender: str
     sender_address: str
@@ -80,25 +86,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SwimSettings:
-    """Times of this instance's own clock."""
+    """Protocol settings; times are measured on this instance's own clock."""
 
     period_ns: int = S
-    ack_timeout_ns: int = 300 * MS  # for the direct probe; then others are asked until the period ends
+    ack_timeout_ns: int = 300 * MS  # for the direct probe; after it other members probe until the period ends
     indirect_probes: int = 3
-    suspicion_multiplier: float = 4.0  # periods, times log10 of the group's size; shorter with confirmations
-    retransmit_multiplier: float = 3.0  # how often a rumour is passed on, times log10 of the group's size
-    max_rumours: int = 8  # in one message
-    sync_interval_ns: int = 10 * S  # with one member, the dead and the seeds included
-    max_sync_rumours: int = 16  # in one message of a sync
-    forget_after_ns: int = 300 * S  # when the dead and those who left are forgotten
+    suspicion_multiplier: float = (
+        4.0  # in periods, times log10 of the group's size; shortened by confirmations
+    )
+    retransmit_multiplier: float = 3.0  # transmissions of a rumour, times log10 of the group's size
+    max_rumours: int = 8  # per message
+    sync_interval_ns: int = 10 * S  # with one live member, and one of the dead members and seeds
+    max_sync_rumours: int = 16  # per sync message
+    forget_after_ns: int = 300 * S  # after which members that are dead or have left are forgotten
 
 
 @dataclass(slots=True)
 class Member:
+    """A known member and the latest rumour about it."""
+
     rumour: Rumour
-    state_since: int  # when its state was heard of
+    state_since: int  # when the present state was first heard of
     suspected_by: set[str] = field(default_factory=set)
-    declare_dead_at: int = 0  # of a suspect: when it counts as dead
+    declare_dead_at: int = 0  # for a suspect: when it is declared dead
 
     @property
     def state(self) -> int:
@@ -107,6 +117,8 @@
 
 @dataclass(slots=True)
 class Probe:
+    """The probe in progress."""
+
     target: str
     sequence: int
     started_at: int
@@ -116,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """News for the instance: a member's state as it counts from now on."""
+    """A change of a member's state, for the instance."""
 
     name: str
     state: int
@@ -124,6 +136,8 @@
 
 
 class Swim:
+    """The membership list of one instance, and the protocol that keeps it up to date."""
+
     def __init__(self, name: str, address: str, seeds: Iterable[str], now: int, seed: int,
                  settings: SwimSettings = SwimSettings()) -> None:  # fmt: skip
         self.name, self.address, self.settings = name, address, settings
@@ -132,24 +146,23 @@
         self.incarnation = 0
         self.members: dict[str, Member] = {}
         self.changes: list[MemberChange] = []
-        self.health_score = 0  # 0: well; each step makes this instance more patient
+        self.health_score = 0  # 0: healthy; each step lengthens this instance's timeouts
         self.left = False
-        self.suspicions = 0  # made here, for operators
-        self._transmit_counts: dict[str, int] = {}  # rumours to pass on, by name: how often they were
+        self.suspicions = 0  # raised by this instance, for diagnostics
+        self._transmit_counts: dict[str, int] = {}  # rumours to pass on, by member: times sent
         self._probe_order: list[str] = []
         self._probe: Probe | None = None
-        self._relayed_probes: dict[
-            int, tuple[str, int, int]
-        ] = {}  # own number: whom to tell, their number, until
+        # By own sequence number: address of the requester, its sequence number, expiry.
+        self._relayed_probes: dict[int, tuple[str, int, int]] = {}
         self._sequence = 0
         self._last_tick = self._last_received_at = now
         self._next_probe_at = now + self.random.randrange(settings.period_ns)
         self._next_sync_at = now
 
-    # --- What is known ----------------------------------------------------------------------------------
+    # --- Membership list --------------------------------------------------------------------------------
 
     def live_members(self) -> list[str]:
-        """Those who count as there, this instance among them: suspects still do."""
+        """Live members including this instance; suspects still count as live."""
         others = [n for n, m in self.members.items() if m.state in (ALIVE, SUSPECT)]
         return sorted([*others, self.name]) if not self.left else sorted(others)
 
@@ -157,7 +170,7 @@
         return Rumour(self.name, self.address, self.incarnation, LEFT if self.left else ALIVE)
 
     def member_states(self, now: int) -> Iterator[tuple[str, str, str, int, int]]:
-        """For operators: name, address, state, incarnation, and for how long (ns)."""
+        """For diagnostics: name, address, state, incarnation and age of the state in ns."""
         yield self.name, self.address, "self", self.incarnation, 0
         for name, m in sorted(self.members.items()):
             yield name, m.rumour.address, STATES[m.state], m.rumour.incarnation, now - m.state_since
@@ -177,7 +190,7 @@
         known = self.members.get(rumour.name)
         if known is None:
             if len(self.members) >= MAX_MEMBERS or rumour.state in (DEAD, LEFT):
-                return  # never heard of, and gone: nothing to know
+                return  # an unknown member that is already gone is not recorded
             self._accept(now, rumour, source)
             return
         if rumour.rank > known.rumour.rank:
@@ -198,7 +211,7 @@
             self.changes.append(MemberChange(rumour.name, rumour.state, rumour.incarnation))
 
     def _confirm_suspicion(self, now: int, member: Member, source: str) -> None:
-        """Another who suspects it by itself: the more there are, the less time is left to refute."""
+        """Another independent suspicion: each one shortens the time left for a refutation."""
         member.suspected_by.add(source)
         member.declare_dead_at = min(
             member.declare_dead_at,
@@ -218,7 +231,7 @@
         return int(longest_ns - (longest_ns - shortest_ns) * fraction)
 
     def _refute(self, rumour: Rumour) -> None:
-        """Refute what is not so: this instance is there, under a higher incarnation."""
+        """Refute a false rumour about this instance by announcing a higher incarnation."""
         if self.left:
             return
         if rumour.rank > (self.incarnation, ALIVE) or rumour.address != self.address:
@@ -231,7 +244,7 @@
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
 
     def _select_rumours(self, receiver: str = "") -> tuple[Rumour, ...]:
-        """The rumours that were passed on least; one that concerns the receiver goes first."""
+        """The rumours sent least often so far; one about the receiver goes first."""
         max_transmits = math.ceil(self.settings.retransmit_multiplier * self._log_size())
         chosen = sorted(self._transmit_counts, key=lambda n: (n != receiver, self._transmit_counts[n], n))[
             : self.settings.max_rumours
@@ -244,13 +257,13 @@
                 del self._transmit_counts[name]
         target = self.members.get(receiver)
         if target is not None and target.state == SUSPECT and target.rumour not in selected:
-            selected.append(target.rumour)  # so that it can refute
+            selected.append(target.rumour)  # so that the suspect can refute it
         return tuple(selected)
 
     # --- Time -------------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> Outgoing:
-        """To be called some times a period; what has to be sent is returned."""
+        """To be called several times per period; returns the messages to send."""
         if self.left:
             return []
         gap_ns = now - self._last_tick
@@ -273,7 +286,7 @@
         return outgoing
 
     def _handle_pause(self, gap_ns: int) -> None:
-        """This instance did nothing for a while: what it missed says nothing of others."""
+        """This instance was paused: missing answers from that time say nothing about other members."""
         self._worsen_health()
         self._probe = None
         for member in self.members.values():
@@ -296,7 +309,7 @@
         )
 
     def _probe_indirectly(self, now: int, outgoing: Outgoing) -> None:
-        """The direct probe has gone unanswered: others are asked."""
+        """The direct probe was not answered: ask other members to probe the target."""
         probe = self._probe
         if (
             probe is None
@@ -322,7 +335,7 @@
             self.health_score = max(0, self.health_score - 1)
             return
         if self._last_received_at < probe.started_at:
-            self._worsen_health()  # nobody was heard meanwhile: the fault may be this instance's own
+            self._worsen_health()  # no message from anyone since: the fault may be this instance's own
         member = self.members.get(probe.target)
         if member is None:
             return
@@ -352,7 +365,10 @@
         outgoing.append((member.rumour.address, ping))
 
     def _start_sync(self, outgoing: Outgoing) -> None:
-        """With one of all that were ever heard of: so a split heals, and news that was lost comes round."""
+        """Exchange membership lists with one live member and one that is dead or not yet known.
+
+        This heals network partitions and makes up for lost rumours.
+        """
         addresses = {m.rumour.address for m in self.members.values() if m.state != LEFT} | set(self.seeds)
         live = {m.rumour.address for m in self.members.values() if m.state == ALIVE}
         gone = sorted(addresses - live)
@@ -412,17 +428,17 @@
         return []
 
     def _note_sender(self, now: int, name: str, address: str) -> None:
-        """Who speaks is there; one that counts as gone learns of it from the answer, and refutes."""
+        """A sender is alive; one listed as suspect or dead is sent that rumour, so that it can refute it."""
         known = self.members.get(name)
         if known is None and name != self.name:
             self._apply_rumour(now, Rumour(name, address, 0, ALIVE), name)
         elif known is not None and known.state in (SUSPECT, DEAD):
             self._transmit_counts.setdefault(name, 0)
 
-    # --- The end ----------------------------------------------------------------------------------------
+    # --- Leaving ----------------------------------------------------------------------------------------
 
     def leave(self) -> Outgoing:
-        """Say goodbye to all that are there: nobody has to find out by silence."""
+        """Announce to all live members that this instance leaves, so that none has to detect it."""
         if self.left:
             return []
         self.left = True
--- a/arrowrail/scheduling/__init__.py
+++ b/arrowrail/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Background work beside call handling: what may run now, and for how long, decided without I/O or clocks."""
+"""Scheduling of background work next to call handling.  No I/O, no clock access."""
--- a/arrowrail/scheduling/scheduler.py
+++ b/arrowrail/scheduling/scheduler.py
@@ -1,11 +1,11 @@
-"""A scheduler for background work on the loop of the calls: priorities, budgets, deadlines, cancellation.
+"""Cooperative scheduler for background work on the event loop, with priorities, budgets and deadlines.
 
-Work comes in slices: a job is a generator that yields wherever it may be put off.  Between slices the
-scheduler decides anew.  It never runs two slices without looking at the turn's budget, so that a turn is
-delayed by its budget and one slice at most; a job whose slices are too long is slowed down and, if it goes
-on, ended.
+A job is a generator that yields wherever it may be interrupted; the code between two yields is a slice.  The
+scheduler picks a job anew for each slice and checks the budget of the event loop iteration before it, so that
+an iteration is delayed by at most its budget plus one slice.  A job with slices that are too long is
+throttled and finally aborted.
 
-Times are handed in: the caller measures each slice on its own clock.
+Times are passed in: the caller supplies the clock that slices are timed with.
 """
 
 from __future__ import annotations
@@ -25,31 +25,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Budgets:
-    """What background work may take; the defaults leave a turn 2 ms later at the most."""
+    """CPU budgets of background work; the defaults delay an event loop iteration by 2 ms at most."""
 
-    iteration_ns: int = MS  # processor time of one turn
-    busy_iteration_ns: int = MS // 4  # of a turn that also handled calls
-    slice_ns: int = MS  # a longer slice counts against its job
-    share_ppm: int = 100_000  # of all processor time: a tenth
-    burst_ns: int = 50 * MS  # saved up at most
-    max_long_slices: int = 8  # of one run: then it is ended
+    iteration_ns: int = MS  # processor time per event loop iteration
+    busy_iteration_ns: int = MS // 4  # per iteration that also handled calls
+    slice_ns: int = MS  # longer slices count against their job
+    share_ppm: int = 100_000  # of all processor time: one tenth
+    burst_ns: int = 50 * MS  # most unused time that is saved up
+    max_long_slices: int = 8  # per run; then the run is aborted
 
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """One kind of background work."""
+    """Definition of one kind of background work."""
 
     name: str
     create: Callable[[], SliceGenerator]
-    period_ns: int = 0  # 0: once, each time that it is asked for
+    period_ns: int = 0  # 0: runs once per submit
     priority: int = NORMAL
-    max_jitter_ppm: int = 100_000  # of the period: how far a run may be put off, drawn anew each time
-    deadline_ns: int = 0  # a run that is not through by then is ended; 0: none
-    rate_milli: int = 0  # slices in 1,000 s at most; 0: as the budgets allow
+    max_jitter_ppm: int = 100_000  # random delay of each run, as a share of the period
+    deadline_ns: int = 0  # a run that takes longer is ended; 0: none
+    rate_milli: int = 0  # most slices in 1,000 s; 0: limited by the budgets only
 
 
 @dataclass(slots=True)
 class Job:
+    """A job that is waiting or running."""
+
     spec: JobSpec
     due_at: int  # when its next run may begin
     generator: SliceGenerator | None = None
@@ -57,25 +59,25 @@
     used_ns: int = 0
     slices: int = 0
     long_slices: int = 0
-    not_before: int = 0  # no slice sooner
-    planned_at: int = 0  # when the run was due without jitter: the next is counted from it
-    queue_position: int = 0  # its place among those that wait equally long
+    not_before: int = 0  # earliest start of the next slice
+    planned_at: int = 0  # when the run was due without jitter; the next run is planned from it
+    queue_position: int = 0  # order among jobs that became ready at the same time
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """A run that is over."""
+    """A run that has ended."""
 
     name: str
     outcome: str
     used_ns: int
     slices: int
-    start_delay_ns: int  # after it was due until it began
+    start_delay_ns: int  # from when the run was due until it began
 
 
 @dataclass(slots=True)
 class CpuBucket:
-    """Processor time that background work may take, filled at its share of all time."""
+    """Token bucket of the processor time for background work, refilled at its share of all time."""
 
     share_ppm: int
     burst_ns: int
@@ -90,6 +92,8 @@
 
 @dataclass(slots=True)
 class Scheduler:
+    """Runs slices of the jobs that are due, within the budgets."""
+
     budgets: Budgets
     seed: int
     now: int
@@ -104,29 +108,29 @@
         budgets = self.budgets
         self.cpu_bucket = CpuBucket(budgets.share_ppm, budgets.burst_ns, self.now, budgets.iteration_ns)
 
-    # --- What there is to do ----------------------------------------------------------------------------
+    # --- Jobs -------------------------------------------------------------------------------------------
 
     def add_periodic(self, spec: JobSpec, now: int) -> None:
-        """Periodic work begins at a random point of its first period: instances must not fall in step."""
+        """Add periodic work; its first run is at a random time, so that instances do not run in step."""
         first_delay = self.random.randrange(spec.period_ns) if spec.period_ns else 0
         self.jobs[spec.name] = Job(spec, now + first_delay, planned_at=now + first_delay)
 
     def submit(self, spec: JobSpec, now: int) -> bool:
-        """Work to be done once, soon; false if the same is waiting or under way."""
+        """Submit work to be run once; false if a job of this name is waiting or running."""
         if spec.name in self.jobs:
             return False
         self.jobs[spec.name] = Job(spec, now, planned_at=now)
         return True
 
     def cancel(self, name: str) -> bool:
-        """End it, also in the middle of a run: its generator is closed where it stands."""
+        """Remove a job; a run in progress is ended by closing its generator."""
         job = self.jobs.pop(name, None)
         if job is not None and job.generator is not None:
             self._finish_run(job, CANCELLED)
         return job is not None
 
     def next_due_at(self, now: int) -> int | None:
-        """When there may be something to do again; ``None``: nothing is known."""
+        """The next time at which a job may run; ``None`` if there are no jobs."""
         times = [
             max(job.not_before if job.generator is not None else job.due_at, now)
             for job in self.jobs.values()
@@ -138,12 +142,12 @@
             return earliest
         return now + -self.cpu_bucket.available_ns * MILLION // max(1, self.cpu_bucket.share_ppm) + MS
 
-    # --- One turn ---------------------------------------------------------------------------------------
+    # --- One event loop iteration -----------------------------------------------------------------------
 
     def run_iteration(self, now: int, clock: Callable[[], int], busy: bool) -> int:
-        """Run what is due within the turn's budget; returns the processor time used.
+        """Run due jobs within the budget of the iteration; returns the processor time used.
 
-        ``clock`` is read after each slice only; ``busy``: the turn handled calls, which go first.
+        ``clock`` is read after each slice only; ``busy``: the iteration also handled calls, which go first.
         """
         self.cpu_bucket.fill(now)
         budget_ns = self.budgets.busy_iteration_ns if busy else self.budgets.iteration_ns
@@ -161,7 +165,7 @@
         return used_ns
 
     def _pick_job(self, now: int, busy: bool) -> Job | None:
-        """The most urgent first; among equals, what has waited longest."""
+        """The most urgent job that is ready; among equals, the one that has waited longest."""
         best: Job | None = None
         for job in self.jobs.values():
             if busy and job.spec.priority == IDLE:
@@ -176,7 +180,7 @@
         return job.spec.priority, max(job.due_at, job.not_before), job.queue_position, job.spec.name
 
     def _run_slice(self, job: Job, now: int) -> str:
-        """One slice of a job's run; how the run ended, if it did."""
+        """Run one slice of a job; returns the outcome if the run has ended, else an empty string."""
         if job.generator is None:
             job.generator, job.started_at = job.spec.create(), now
             job.used_ns = job.slices = job.long_slices = 0
@@ -186,7 +190,7 @@
         except StopIteration:
             return DONE
         except Exception:
-            # Guards the loop and all other work: a run that fails is ended, and comes again in its time.
+            # Protects the event loop and other jobs: only this run ends; a periodic job runs again later.
             return FAILED
         return ""
 
@@ -194,7 +198,7 @@
         job.used_ns += elapsed_ns
         if elapsed_ns > self.budgets.slice_ns:
             job.long_slices += 1
-            # What took too long stands back for as long as its share of time would have needed.
+            # A job with a long slice pauses for as long as its share of time needs to make up for it.
             job.not_before = now + elapsed_ns * MILLION // max(1, self.budgets.share_ppm)
         if job.spec.rate_milli:
             job.not_before = max(job.not_before, now + 1000 * S // job.spec.rate_milli)
@@ -205,7 +209,7 @@
         elif job.spec.deadline_ns and now - job.started_at >= job.spec.deadline_ns:
             self._finish_run(job, DEADLINE_EXCEEDED)
         else:
-            # Behind the others of its priority: no long run keeps them waiting.
+            # Behind other jobs of the same priority, so that a long run does not keep them waiting.
             job.not_before = max(job.not_before, now)
             self.last_queue_position += 1
             job.due_at, job.queue_position = now, self.last_queue_position
@@ -226,7 +230,7 @@
         if not spec.period_ns:
             del self.jobs[spec.name]
             return
-        # Counted from when it was due, so that periods do not stretch; what was missed whole is left out.
+        # Counted from the planned time, so that periods do not drift; missed periods are skipped.
         job.planned_at += spec.period_ns * max(1, (job.started_at - job.planned_at) // spec.period_ns + 1)
         job.due_at = job.planned_at + self._jitter(spec)
         job.not_before = 0
@@ -236,7 +240,7 @@
         return self.random.randrange(max_jitter_ns) if max_jitter_ns > 0 else 0
 
     def job_states(self, now: int) -> Iterator[tuple[str, str, int]]:
-        """For operators: name, what it is at, and how long until its next run (ns)."""
+        """For diagnostics: name, state, and time until the next run in ns."""
         for name, job in sorted(self.jobs.items()):
             state = "running" if job.generator is not None else "waiting"
             yield name, f"{PRIORITY_NAMES[job.spec.priority]}, {state}", max(0, job.due_at - now)
--- a/arrowrail/storage/__init__.py
+++ b/arrowrail/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files that outlive the process, written off the loop."""
+"""Files that outlive the process, written outside the event loop."""
--- a/arrowrail/storage/file_writer.py
+++ b/arrowrail/storage/file_writer.py
@@ -1,7 +1,7 @@
-"""Keeps one small file safe without holding up the loop: a thread writes and syncs, the loop hears of it.
+"""Writes one small file durably without blocking the event loop: a thread writes and syncs.
 
-What is asked for while a write is under way waits for the next one, which holds the latest content: however
-many ask, there are never more than two writes to wait for.
+Content passed in during a write waits for the next one, which writes the latest content: however many callers
+there are, none waits for more than two writes.
 """
 
 from __future__ import annotations
@@ -15,13 +15,15 @@
 from arrowrail.config.atomic_file import write_atomically
 from arrowrail.loop import READ, Loop
 
-Callback = Callable[[bool], None]  # whether it is safe
+Callback = Callable[[bool], None]  # called with whether the content is stored
 
 
 class FileWriter:
+    """Writes successive contents of one file in a thread of its own."""
+
     def __init__(self, loop: Loop, path: Path) -> None:
         self.loop, self.path = loop, path
-        self.last_error = ""  # why the last write failed
+        self.last_error = ""  # of the last write; empty if it succeeded
         self._jobs: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
         self._results: queue.SimpleQueue[str] = queue.SimpleQueue()
         self._wake_receiver, self._wake_sender = socket.socketpair()
@@ -37,6 +39,7 @@
         return bool(self._active_callbacks)
 
     def write(self, data: bytes, on_done: Callback) -> None:
+        """Write the file; ``on_done`` is called on the event loop."""
         if self._active_callbacks:
             callbacks = self._queued[1] if self._queued is not None else []
             self._queued = (data, [*callbacks, on_done])
@@ -67,7 +70,7 @@
                 on_done(not self.last_error)
 
     def close(self) -> None:
-        """Wait for what is under way: the process is about to end."""
+        """Wait up to 5 s for a write in progress, before the process ends."""
         self._jobs.put(None)
         self._thread.join(5)
         self.loop.unwatch(self._wake_receiver)
--- a/arrowrail/wire/group/__init__.py
+++ b/arrowrail/wire/group/__init__.py
@@ -1,1 +1,1 @@
-"""Messages among instances: authenticated datagrams, and the socket that carries them."""
+"""Messages between the instances of a group: authenticated datagrams and the socket that carries them."""
--- a/arrowrail/wire/group/messages.py
+++ b/arrowrail/wire/group/messages.py
@@ -1,9 +1,10 @@
-"""One datagram: a head, the message as MessagePack, and an HMAC over both.
+"""Encoding of group messages: one datagram holds a header and a message as MessagePack, with an HMAC.
 
     version:1 key:1 hmac:16 payload
 
-The payload names group, sender, receiver, the sender's present life and a number that only grows.  A key that
-is rolled is accepted beside the new one for as long as the records list both.
+The HMAC covers everything else.  The payload's header names group, sender, receiver, the start time of the
+sender's run and a sequence number that only grows.  During a key rotation the old key is accepted beside the
+new one for as long as the configuration lists both.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 from arrowrail.membership.swim import Ack, Ping, PingRequest, Rumour, Sync
 
 VERSION = 1
-MAC_BYTES = 16  # bytes of HMAC-SHA256 that are sent
-MAX_DATAGRAM = 1400  # fits an Ethernet frame whole
+MAC_BYTES = 16  # bytes of the HMAC-SHA256 that are sent
+MAX_DATAGRAM = 1400  # fits into one Ethernet frame
 MAX_TEXT_LENGTH = 128  # characters of a name or address
 MESSAGE_TYPES: tuple[type[Any], ...] = (
     Ping,
@@ -41,19 +42,20 @@
 
 
 class GroupError(Exception):
-    """A datagram that is not taken; the text names the reason, and is counted under it."""
+    """A datagram that is dropped; the text is the reason under which it is counted."""
 
 
 def encode(
     keys: Mapping[int, bytes], key: int, header: tuple[str, str, str, int, int], message: Message
 ) -> bytes:
-    """``head``: group, sender, receiver ('' for an address whose name is not known), life, number."""
+    """``header``: group, sender, receiver ('' if only its address is known), start time, sequence number."""
     payload = msgspec.msgpack.encode((header, MESSAGE_TYPES.index(type(message)), _to_fields(message)))
     prefix = bytes((VERSION, key))
     return prefix + hmac.digest(keys[key], prefix + payload, "sha256")[:MAC_BYTES] + payload
 
 
 def _to_fields(message: Any) -> list[Any]:
+    """The fields of a message in the order of their declaration."""
     if isinstance(message, Batch):
         return [[MESSAGE_TYPES.index(type(item)), _to_fields(item)] for item in message.messages]
     fields = list(type(message).__dataclass_fields__)
@@ -66,7 +68,7 @@
 
 
 def decode(keys: Mapping[int, bytes], data: bytes) -> tuple[Header, Message]:
-    """``GroupError`` on all that is not a whole message under one of the keys."""
+    """Raises ``GroupError`` for anything that is not a complete message under one of the keys."""
     if len(data) < 2 + MAC_BYTES + 1 or len(data) > MAX_DATAGRAM:
         raise GroupError("size")
     if data[0] != VERSION:
--- a/arrowrail/wire/group/transport.py
+++ b/arrowrail/wire/group/transport.py
@@ -1,4 +1,4 @@
-"""The group's datagram socket on the loop."""
+"""The group's datagram socket on the event loop."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from arrowrail.state.address import parse_address
 from arrowrail.wire.group.messages import MAX_DATAGRAM
 
-MAX_DATAGRAMS_PER_ITERATION = (
-    64  # datagrams read in one turn: the rest waits in the kernel, and calls go first
-)
+MAX_DATAGRAMS_PER_ITERATION = 64  # the rest waits in the kernel, so that calls are handled in between
 RECEIVE_BUFFER_BYTES = 256 * 1024
 
 
 class Transport:
+    """Sends and receives the datagrams of a group."""
+
     def __init__(self, loop: Loop, address: str, on_datagram: Callable[[bytes], None]) -> None:
         self.loop, self.on_datagram = loop, on_datagram
         host, port = parse_address(address)
@@ -23,12 +23,12 @@
         self.sock.setblocking(False)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.sock.bind((host, port))
-        self.unsent = 0  # datagrams that the kernel had no room for, or no way
+        self.unsent = 0  # datagrams not sent: full kernel buffer, no route, or invalid address
         self._addresses: dict[str, tuple[str, int]] = {}
         loop.watch(self.sock, READ, self._on_readable)
 
     def send(self, address: str, data: bytes) -> None:
-        """Datagrams are lost now and then: one that can't leave at once is one of them."""
+        """Send without waiting; a datagram that cannot be sent at once counts as lost."""
         destination = self._addresses.get(address)
         if destination is None:
             if len(self._addresses) > 4096:
@@ -47,7 +47,7 @@
         for _ in range(MAX_DATAGRAMS_PER_ITERATION):
             try:
                 data = self.sock.recv(MAX_DATAGRAM + 1)
-            except OSError:  # nothing more, or a peer's port that is closed
+            except OSError:  # nothing left to read, or a peer's port is closed
                 return
             self.on_datagram(data)
 
