--- a/arrowrail/cli/group.py
+++ b/arrowrail/cli/group.py
@@ -50,7 +50,7 @@
             f"incarnation {member['incarnation']}, for {member['for_ms'] / 1000:.1f} s"
         )
     for reason, count in sorted(report["dropped"].items()):
-        typer.echo(f"dropped datagrams, {reason}: {count}")
+        typer.echo(f"datagrams dropped, {reason}: {count}")
 
 
 def duties(control: ControlPath, as_json: JsonFlag = False) -> None:
--- a/arrowrail/group/runtime.py
+++ b/arrowrail/group/runtime.py
@@ -40,7 +40,9 @@
     except FileNotFoundError:
         return None
     except (OSError, msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
-        logger.warning("promises of before can't be read, a lease is sat out: {!r}", error)
+        logger.warning(
+            "stored promises cannot be read; nothing is granted for one lease duration: {!r}", error
+        )
         return None
 
 
@@ -56,8 +58,8 @@
             path = Path(config.promise_dir) / f"{config.name}.promises"
             stored = load_promises(path)
             self.promise_file = FileWriter(loop, path)
-        # Without stored promises, epochs begin above all that a process started before this second can have
-        # used.
+        # Without stored promises, epochs begin above all that a process started before this second can
+        # have used.
         min_epoch = 0 if stored is not None else (self.boot // 10**9) << 20
         self.instance = Instance(config, loop.now, seed, stored, min_epoch)
         self.scheduler = Scheduler(Budgets(), seed, loop.now)
@@ -90,9 +92,9 @@
         """To be called once per event loop iteration, after the calls have been handled."""
         if self.scheduler.jobs:
             self.scheduler.run_iteration(self.loop.now, time.monotonic_ns, busy)
-            due = self.scheduler.next_due_at(self.loop.now)
-            if due is not None:
-                self.loop.timers.schedule(max(due, self.loop.now + MS), lambda: None)
+            due_at = self.scheduler.next_due_at(self.loop.now)
+            if due_at is not None:
+                self.loop.timers.schedule(max(due_at, self.loop.now + MS), lambda: None)
 
     def _apply(self, effects: Effects) -> None:
         for run in effects.runs:
--- a/arrowrail/lab/modelcheck.py
+++ b/arrowrail/lab/modelcheck.py
@@ -66,8 +66,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InFlight:
-    """A message between two instances that has not arrived yet."""
+class Packet:
+    """A message in flight between two instances."""
 
     sender: int
     receiver: int
@@ -80,10 +80,8 @@
 
     promises: tuple[tuple[Promise, ...], ...]  # by instance, then by duty
     claims: tuple[tuple[Claim, ...], ...]
-    in_flight: frozenset[InFlight] = frozenset()
-    held_epochs: frozenset[tuple[int, int, int]] = (
-        frozenset()
-    )  # (duty, epoch, holder) that were held at some time
+    in_flight: frozenset[Packet] = frozenset()
+    held_epochs: frozenset[tuple[int, int, int]] = frozenset()  # (duty, epoch, holder) held at some time
     duplicates: int = 0
     crashes: int = 0
 
@@ -98,7 +96,7 @@
     complete: bool = True
 
 
-def _packet_sort_key(packet: InFlight) -> tuple[int, int, str, str, int, int]:
+def _packet_sort_key(packet: Packet) -> tuple[int, int, str, str, int, int]:
     message = packet.message
     return (
         packet.sender,
@@ -133,8 +131,8 @@
         self, rates: tuple[int, ...], bounds: Bounds, disabled: DisabledSafeguards = ALL_SAFEGUARDS
     ) -> None:
         self.rates, self.bounds, self.disabled = rates, bounds, disabled
-        config_type = type("T", (WeakenedConfig,), {"disabled": disabled, "__slots__": ()})
-        self.config: LeaseConfig = config_type(PROMISE_DURATION, DRIFT_PPM, frozenset(INSTANCES))
+        config_class = type("T", (WeakenedConfig,), {"disabled": disabled, "__slots__": ()})
+        self.config: LeaseConfig = config_class(PROMISE_DURATION, DRIFT_PPM, frozenset(INSTANCES))
         self.duties = tuple(f"d{n}" for n in range(bounds.duties))
 
     def start(self) -> State:
@@ -204,7 +202,7 @@
     # --- Steps ------------------------------------------------------------------------------------------
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
-        yield "time goes on", self._advance_clocks(state)
+        yield "time advances", self._advance_clocks(state)
         for instance, duty_index in product(range(CANDIDATES), range(len(self.duties))):
             claim, duty = state.claims[instance][duty_index], self.duties[duty_index]
             if len(state.in_flight) < self.bounds.max_in_flight:
@@ -214,7 +212,7 @@
                 ):
                     started = claim_ops.start_acquire(claim, BASE_TIME, self.config)
                     yield (
-                        f"{INSTANCES[instance]} asks for {duty}",
+                        f"{INSTANCES[instance]} requests {duty}",
                         self._send_request(state, instance, duty_index, *started),
                     )
                 elif claim.phase == claim_ops.HOLDING and not claim.requested_at:
@@ -227,14 +225,13 @@
                 idle_claim, release = claim_ops.release_claim(claim, BASE_TIME)
                 assert release is not None
                 yield (
-                    f"{INSTANCES[instance]} gives {duty} back",
+                    f"{INSTANCES[instance]} releases {duty}",
                     self._send_release(
                         self._with_claim(state, instance, duty_index, idle_claim), instance, release
                     ),
                 )
-        for packet in sorted(
-            state.in_flight, key=_packet_sort_key
-        ):  # sorted because the order of a set changes from run to run
+        # Sorted because the order of a set changes from run to run.
+        for packet in sorted(state.in_flight, key=_packet_sort_key):
             message_type = type(packet.message).__name__.lower()
             label = f"{message_type} {INSTANCES[packet.sender]} to {INSTANCES[packet.receiver]}"
             remaining = replace(state, in_flight=state.in_flight - {packet})
@@ -242,17 +239,22 @@
             yield f"{label} is lost", remaining
             if state.duplicates < self.bounds.duplicates:
                 redelivered = self._deliver(replace(state, duplicates=state.duplicates + 1), packet)
-                yield f"{label} arrives, and will again", redelivered
+                yield f"{label} arrives and will arrive again", redelivered
         if state.crashes < self.bounds.crashes:
             for instance in range(len(INSTANCES)):
-                yield f"{INSTANCES[instance]} crashes and starts", self._restart(state, instance)
+                yield f"{INSTANCES[instance]} crashes and restarts", self._restart(state, instance)
 
     def _advance_clocks(self, state: State) -> State:
         """Advance each clock by its rate, and shift all times back by it."""
         promises = tuple(
             tuple(
-                replace(p, expires_at=max(0, p.expires_at - rate) if p.expires_at - rate > BASE_TIME else 0)
-                for p in row
+                replace(
+                    promise,
+                    expires_at=max(0, promise.expires_at - rate)
+                    if promise.expires_at - rate > BASE_TIME
+                    else 0,
+                )
+                for promise in row
             )
             for row, rate in zip(state.promises, self.rates, strict=True)
         )
@@ -279,7 +281,7 @@
         state = self._answer_request(state, instance, instance, request)
         others = [other for other in range(len(INSTANCES)) if other != instance]
         return replace(
-            state, in_flight=state.in_flight | {InFlight(instance, other, request) for other in others}
+            state, in_flight=state.in_flight | {Packet(instance, other, request) for other in others}
         )
 
     def _send_release(self, state: State, instance: int, release: Release) -> State:
@@ -289,27 +291,27 @@
         free_slots = self.bounds.max_in_flight + 2 - len(state.in_flight)
         others = [other for other in range(len(INSTANCES)) if other != instance][: max(0, free_slots)]
         return replace(
-            state, in_flight=state.in_flight | {InFlight(instance, other, release) for other in others}
+            state, in_flight=state.in_flight | {Packet(instance, other, release) for other in others}
         )
 
     def _with_promise(self, state: State, instance: int, duty_index: int, promise: Promise) -> State:
         row = (*state.promises[instance][:duty_index], promise, *state.promises[instance][duty_index + 1 :])
         return replace(state, promises=(*state.promises[:instance], row, *state.promises[instance + 1 :]))
 
-    def _answer_request(self, state: State, grantor: int, requester: int, request: AcquireRequest) -> State:
+    def _answer_request(self, state: State, voter: int, requester: int, request: AcquireRequest) -> State:
         duty_index = self.duties.index(request.duty)
         now = BASE_TIME
-        promise, reply = answer_request(state.promises[grantor][duty_index], now, request, self.config)
+        promise, reply = answer_request(state.promises[voter][duty_index], now, request, self.config)
         reply = replace(reply, retry_after_ns=0)
-        state = self._with_promise(state, grantor, duty_index, promise)
-        if grantor == requester:
+        state = self._with_promise(state, voter, duty_index, promise)
+        if voter == requester:
             claim = claim_ops.apply_reply(
-                state.claims[requester][duty_index], INSTANCES[grantor], reply, now, self.config
+                state.claims[requester][duty_index], INSTANCES[voter], reply, now, self.config
             )
             return self._with_claim(state, requester, duty_index, replace(claim, not_before=0))
-        return replace(state, in_flight=state.in_flight | {InFlight(grantor, requester, reply)})
+        return replace(state, in_flight=state.in_flight | {Packet(voter, requester, reply)})
 
-    def _deliver(self, state: State, packet: InFlight) -> State:
+    def _deliver(self, state: State, packet: Packet) -> State:
         message, receiver = packet.message, packet.receiver
         duty_index = self.duties.index(message.duty)
         if isinstance(message, AcquireRequest):
@@ -332,7 +334,7 @@
         if self.disabled.no_memory:
             restored = (NO_PROMISE,) * len(self.duties)
         else:
-            restored = tuple(restore_promise(p, BASE_TIME) for p in state.promises[instance])
+            restored = tuple(restore_promise(promise, BASE_TIME) for promise in state.promises[instance])
         claims = tuple(
             Claim(duty, INSTANCES[instance], round=state.claims[instance][index].round)
             for index, duty in enumerate(self.duties)
--- a/arrowrail/membership/swim.py
+++ b/arrowrail/membership/swim.py
@@ -91,9 +91,7 @@
     period_ns: int = S
     ack_timeout_ns: int = 300 * MS  # for the direct probe; after it other members probe until the period ends
     indirect_probes: int = 3
-    suspicion_multiplier: float = (
-        4.0  # in periods, times log10 of the group's size; shortened by confirmations
-    )
+    suspicion_multiplier: float = 4.0  # periods, times log10 of the group's size; confirmations shorten it
     retransmit_multiplier: float = 3.0  # transmissions of a rumour, times log10 of the group's size
     max_rumours: int = 8  # per message
     sync_interval_ns: int = 10 * S  # with one live member, and one of the dead members and seeds
@@ -201,13 +199,17 @@
             self._confirm_suspicion(now, known, source)
 
     def _accept(self, now: int, rumour: Rumour, source: str) -> None:
-        before = self.members.get(rumour.name)
+        previous = self.members.get(rumour.name)
         member = self.members[rumour.name] = Member(rumour, now)
         if rumour.state == SUSPECT:
             member.suspected_by = {source}
             member.declare_dead_at = now + self._suspicion_ns(1)
         self._transmit_counts[rumour.name] = 0
-        if before is None or before.state != rumour.state or before.rumour.incarnation < rumour.incarnation:
+        if (
+            previous is None
+            or previous.state != rumour.state
+            or previous.rumour.incarnation < rumour.incarnation
+        ):
             self.changes.append(MemberChange(rumour.name, rumour.state, rumour.incarnation))
 
     def _confirm_suspicion(self, now: int, member: Member, source: str) -> None:
@@ -442,9 +444,9 @@
         if self.left:
             return []
         self.left = True
-        farewell = (self.own_rumour(),)
+        announcement = (self.own_rumour(),)
         return [
-            (m.rumour.address, Sync(self.name, self.address, False, farewell))
+            (m.rumour.address, Sync(self.name, self.address, False, announcement))
             for m in self.members.values()
             if m.state in (ALIVE, SUSPECT)
         ]
--- a/arrowrail/storage/file_writer.py
+++ b/arrowrail/storage/file_writer.py
@@ -31,7 +31,7 @@
         self._active_callbacks: list[Callback] = []
         self._queued: tuple[bytes, list[Callback]] | None = None
         loop.watch(self._wake_receiver, READ, self._on_wake)
-        self._thread = threading.Thread(target=self._run, daemon=True, name="keeper")
+        self._thread = threading.Thread(target=self._run, daemon=True, name="file-writer")
         self._thread.start()
 
     @property
--- a/arrowrail/wire/group/messages.py
+++ b/arrowrail/wire/group/messages.py
@@ -21,7 +21,7 @@
 from arrowrail.membership.swim import Ack, Ping, PingRequest, Rumour, Sync
 
 VERSION = 1
-MAC_BYTES = 16  # bytes of the HMAC-SHA256 that are sent
+MAC_BYTES = 16  # the HMAC-SHA256 is truncated to this length
 MAX_DATAGRAM = 1400  # fits into one Ethernet frame
 MAX_TEXT_LENGTH = 128  # characters of a name or address
 MESSAGE_TYPES: tuple[type[Any], ...] = (
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,4 +1,4 @@
-"""The group as a whole: datagrams, replays, memory, and instances together in simulated time."""
+"""Group messages, replay protection, stored promises, and whole groups in simulated time."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 )  # fmt: skip
 
 
-# --- Datagrams --------------------------------------------------------------------------------------------
+# --- Datagrams ------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_every_message_reads_back_under_each_key(message: Message) -> None:
+def test_every_message_decodes_under_each_key(message: Message) -> None:
     for key in KEYS:
         assert decode(KEYS, encode(KEYS, key, HEADER, message)) == (HEADER, message)
 
 
-def test_what_is_foreign_old_or_tampered_with_is_not_taken() -> None:
+def test_damaged_or_forged_datagrams_are_rejected_with_a_reason() -> None:
     good = encode(KEYS, 1, HEADER, MESSAGES[0])
     for data, reason in (
         (b"", "size"), (good + b"x" * MAX_DATAGRAM, "size"), (b"\x09" + good[1:], "version"),
@@ -61,12 +61,12 @@
             decode(KEYS, data)
 
 
-def test_a_message_of_all_rumours_fits_a_datagram() -> None:
+def test_a_full_sync_message_fits_a_datagram() -> None:
     many = tuple(Rumour("n" * 20 + str(n), "255.255.255.255:65535", 10**6, 2) for n in range(16))
     assert len(encode(KEYS, 1, HEADER, Sync("s" * 20, "255.255.255.255:65535", True, many))) <= MAX_DATAGRAM
 
 
-def test_messages_to_one_receiver_travel_together_within_a_datagram() -> None:
+def test_messages_to_one_receiver_are_batched_within_the_datagram_size() -> None:
     requests = [("b", AcquireRequest("d" * 100 + str(n), "a" * 60, n, 1, S)) for n in range(50)] + [
         ("c", AcquireRequest("e", "a", 1, 1, S))
     ]
@@ -82,7 +82,9 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.sampled_from(MESSAGES), st.binary(max_size=60), st.integers(0, 200), st.booleans())
-def test_no_damage_raises_anything_else(message: Message, noise: bytes, at: int, signed: bool) -> None:
+def test_decoding_damaged_data_raises_nothing_but_group_errors(
+    message: Message, noise: bytes, at: int, signed: bool
+) -> None:
     import hmac
 
     whole = encode(KEYS, 1, HEADER, message)
@@ -94,7 +96,7 @@
         decode(KEYS, start + mac + payload)
 
 
-def test_numbers_are_taken_once_in_any_order_within_a_window() -> None:
+def test_sequence_numbers_are_accepted_once_in_any_order_within_the_window() -> None:
     replay_filter = ReplayFilter()
     assert [replay_filter.check("a", 1, n) for n in (5, 3, 5, 4, 3)] == [
         FRESH,
@@ -108,7 +110,7 @@
     assert replay_filter.check("b", 1, 5) == FRESH
 
 
-# --- Duties -----------------------------------------------------------------------------------------------
+# --- Duties ---------------------------------------------------------------------------------------------
 
 
 def test_a_new_holder_waits_a_whole_period() -> None:
@@ -119,22 +121,21 @@
         and schedule.start_next_run(110 * S) == 1
         and schedule.start_next_run(115 * S) == 0
     )
-    schedule.set_epoch(116 * S, 3)  # renewed: nothing begins anew
+    schedule.set_epoch(116 * S, 3)  # renewed under the same epoch: the schedule continues
     assert schedule.start_next_run(120 * S) == 2
     schedule.clear_epoch()
     assert schedule.start_next_run(200 * S) == 0
     schedule.set_epoch(200 * S, 4)
     assert schedule.start_next_run(209 * S) == 0 and schedule.start_next_run(210 * S) == 1
-    assert (
-        schedule.start_next_run(500 * S) == 2 and schedule.start_next_run(501 * S) == 0
-    )  # what was missed is not made up for
+    # Missed runs are not made up for.
+    assert schedule.start_next_run(500 * S) == 2 and schedule.start_next_run(501 * S) == 0
 
 
-def test_hints_count_while_fresh_and_newer_ones_win() -> None:
+def test_probe_results_expire_and_are_replaced_by_newer_ones_only() -> None:
     results = ProbeResults(30 * S)
     assert results.verdict(0, "d") == UNKNOWN
     assert results.record(100 * S, ProbeResult("d", "a", 2, 1, False, 0, S))
-    assert results.verdict(100 * S, "d") == UNKNOWN  # one failure is no proof
+    assert results.verdict(100 * S, "d") == UNKNOWN  # one failure is not enough
     assert (
         results.record(110 * S, ProbeResult("d", "a", 2, 2, False, 0, 0))
         and results.verdict(110 * S, "d") == SILENT
@@ -147,10 +148,10 @@
     )
 
 
-# --- Memory and control -----------------------------------------------------------------------------------
+# --- Stored promises and control socket -----------------------------------------------------------------
 
 
-def test_promises_are_kept_off_the_loop_and_read_back(tmp_path: Path) -> None:
+def test_promises_are_written_outside_the_loop_and_read_back(tmp_path: Path) -> None:
     import msgspec
 
     path, loop, outcomes = tmp_path / "p", Loop(), list[bool]()
@@ -158,7 +159,7 @@
     for n in range(5):
         data = msgspec.msgpack.encode({"version": 1, "promises": [["d", n, "a", 7]]})
         writer.write(data, outcomes.append)
-    assert outcomes == []  # nothing is safe before the loop has heard of it
+    assert outcomes == []  # no callback before the loop has run
     end = time.monotonic() + 10
     while len(outcomes) < 5 and time.monotonic() < end:
         loop.run_once()
@@ -168,7 +169,7 @@
     assert load_promises(path) is None and load_promises(tmp_path / "none") is None
 
 
-def test_a_write_that_fails_is_told(tmp_path: Path) -> None:
+def test_a_failed_write_is_reported(tmp_path: Path) -> None:
     loop, outcomes = Loop(), list[bool]()
     writer = FileWriter(loop, tmp_path / "no" / "folder")
     writer.write(b"x", outcomes.append)
@@ -178,7 +179,7 @@
     writer.close()
 
 
-def test_the_control_socket_is_its_owner_s_and_tells_the_report(tmp_path: Path) -> None:
+def test_the_control_socket_sends_the_report_and_is_open_to_its_owner_only(tmp_path: Path) -> None:
     loop, path = Loop(), str(tmp_path / "c")
     control = ControlSocket(loop, path, lambda: {"group": "g"})
     assert stat.S_IMODE(os.stat(path).st_mode) == 0o600
@@ -191,8 +192,8 @@
     assert not os.path.exists(path)
 
 
-def test_three_on_real_sockets_run_each_duty_under_epochs_of_their_own(tmp_path: Path) -> None:
-    loop, ports = Loop(), free_udp(3)
+def test_three_instances_on_real_sockets_run_each_duty_under_distinct_epochs(tmp_path: Path) -> None:
+    loop, ports = Loop(), free_udp_ports(3)
     members = {f"i{n}": f"127.0.0.1:{port}" for n, port in enumerate(ports)}
     runs: list[tuple[str, DutyRun]] = []
     groups = []
@@ -225,7 +226,7 @@
     assert load_promises(tmp_path / "i0.promises")
 
 
-def free_udp(count: int) -> list[int]:
+def free_udp_ports(count: int) -> list[int]:
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
@@ -235,11 +236,11 @@
     return ports
 
 
-# --- Instances together -----------------------------------------------------------------------------------
+# --- Groups in simulated time ---------------------------------------------------------------------------
 
 
 class SimulatedGroup:
-    """Instances over a simulated network; every run of a duty is noted with its true time."""
+    """Instances on a simulated network; every run of a duty is recorded with its true time."""
 
     def __init__(
         self, names: list[str], voters: list[str], duties: int, seed: int, period_ns: int = 4 * S
@@ -296,15 +297,15 @@
     def run(self, seconds: float) -> None:
         self.network.run(self.network.now + int(seconds * S))
 
-    def check(self, since: int = 0) -> int:
-        """No run too near the last, no epoch of two holders; returns the longest time without a run."""
+    def check_runs(self, since: int = 0) -> int:
+        """Check the distance of runs and the holder of each epoch; returns the longest time without a run."""
         longest = 0
         for duty in self.duties:
             times = [(t, name, run) for t, name, run in self.runs if run.duty == duty]
             epochs: dict[int, str] = {}
-            for (t, _, one), (u, _, other) in pairwise(times):
-                assert u - t >= self.period_ns * 6 // 10, (duty, t, u, one, other)
-                assert other.epoch >= one.epoch
+            for (earlier, _, first), (later, _, second) in pairwise(times):
+                assert later - earlier >= self.period_ns * 6 // 10, (duty, earlier, later, first, second)
+                assert second.epoch >= first.epoch
             for _, name, run in times:
                 assert epochs.setdefault(run.epoch, name) == name
             edges = [since, *(t for t, _, _ in times if t > since), self.network.now]
@@ -315,40 +316,39 @@
 FIVE_INSTANCES = [f"i{n}" for n in range(5)]
 
 
-def test_each_duty_runs_once_a_period_and_a_killed_instance_s_are_taken_over() -> None:
+def test_each_duty_runs_once_per_period_and_those_of_a_crashed_instance_are_taken_over() -> None:
     group = SimulatedGroup(FIVE_INSTANCES, FIVE_INSTANCES, 20, 1)
     group.run(20)
-    steady = group.network.now
+    steady_since = group.network.now
     group.run(40)
-    assert group.check(steady) <= group.period_ns * 3 // 2
+    assert group.check_runs(steady_since) <= group.period_ns * 3 // 2
     assert {name for _, name, _ in group.runs} == set(FIVE_INSTANCES)
-    killed = group.network.now
+    crashed_at = group.network.now
     group.crash("i2")
     group.run(30)
-    assert group.check(killed) <= 25 * S
-    late = {run.duty for t, _, run in group.runs if t > group.network.now - 2 * group.period_ns}
-    assert late == set(group.duties)
+    assert group.check_runs(crashed_at) <= 25 * S
+    recent = {run.duty for t, _, run in group.runs if t > group.network.now - 2 * group.period_ns}
+    assert recent == set(group.duties)
 
 
-def test_the_smaller_side_of_a_split_runs_nothing_and_all_goes_on_after_it() -> None:
+def test_the_minority_side_of_a_partition_runs_nothing_and_all_duties_run_after_it() -> None:
     group = SimulatedGroup(FIVE_INSTANCES, FIVE_INSTANCES, 10, 2)
     group.run(30)
     group.network.faults.partition({"i0", "i1"}, {"i2", "i3", "i4"})
     group.run(10)
-    apart = group.network.now
+    partitioned_since = group.network.now
     group.run(30)
-    assert {name for t, name, _ in group.runs if t > apart} <= {"i2", "i3", "i4"}
+    assert {name for t, name, _ in group.runs if t > partitioned_since} <= {"i2", "i3", "i4"}
     group.network.faults.heal()
     group.run(40)
-    assert group.check(apart) <= 25 * S
+    assert group.check_runs(partitioned_since) <= 25 * S
 
 
-def test_a_group_grown_from_three_to_five_in_service() -> None:
+def test_a_group_grows_from_three_to_five_voters_in_service() -> None:
     group = SimulatedGroup(FIVE_INSTANCES[:3], FIVE_INSTANCES[:3], 8, 3)
     group.run(30)
-    group.joining = (
-        FIVE_INSTANCES  # first the members learn that both majorities count, then the new ones come
-    )
+    # The present voters require majorities of both sets before the new instances start.
+    group.joining = FIVE_INSTANCES
     for name, instance in group.instances.items():
         instance.update_config(group.config(name))
     for name in FIVE_INSTANCES[3:]:
@@ -359,19 +359,19 @@
         group.instances[name].update_config(group.config(name))
         group.run(0.5)
     group.run(30)
-    assert group.check(25 * S) <= 25 * S
+    assert group.check_runs(25 * S) <= 25 * S
     group.crash("i0")
     group.crash("i1")
-    gone = group.network.now
+    crashed_at = group.network.now
     group.run(40)
-    assert group.check(gone) <= 25 * S  # three of five are a majority
+    assert group.check_runs(crashed_at) <= 25 * S  # three of five are a majority
 
 
 @settings(max_examples=8, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.lists(st.tuples(
     st.sampled_from(["crash", "start", "stop", "go", "split", "oneway", "heal", "lossy", "late", "calm"]),
     st.integers(0, 4), st.floats(0.5, 9.0)), max_size=10))  # fmt: skip
-def test_over_any_history_no_duty_is_doubled_and_all_run_once_it_is_calm(
+def test_under_any_faults_no_duty_runs_twice_and_all_run_once_the_faults_end(
     seed: int, steps: list[tuple[str, int, float]]
 ) -> None:
     group = SimulatedGroup(FIVE_INSTANCES, FIVE_INSTANCES, 4, seed)
@@ -404,6 +404,6 @@
         if name not in group.instances:
             group.start(name)
     group.run(60)
-    group.check()
+    group.check_runs()
     recent = {run.duty for t, _, run in group.runs if t > group.network.now - 2 * group.period_ns}
     assert recent == set(group.duties)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: one holder at a time, no epoch twice, over every order of steps within bounds and many beyond."""
+"""Leases: one holder at a time and per epoch, in all orders of steps within bounds and random histories."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
     return AcquireRequest("d", holder, epoch, round_, length)
 
 
-# --- The grantor ----------------------------------------------------------------------------------------
+# --- The voter's side -----------------------------------------------------------------------------------
 
 
-def test_a_promise_keeps_others_out_until_it_is_over() -> None:
+def test_a_promise_excludes_other_holders_until_it_expires() -> None:
     promise, reply = answer_request(NO_PROMISE, T0, acquire_request("a", 1), CONFIG)
     assert reply.granted and promise == Promise(1, "a", T0 + 3 * S, 3 * S)
     unchanged, refused = answer_request(promise, T0 + S, acquire_request("b", 5), CONFIG)
@@ -49,27 +49,26 @@
     assert granted.granted and after.holder == "b"
 
 
-def test_an_epoch_is_promised_once_and_only_grows() -> None:
+def test_an_epoch_is_promised_once_and_epochs_only_grow() -> None:
     promise, _ = answer_request(NO_PROMISE, T0, acquire_request("a", 4), CONFIG)
     after_expiry = T0 + 4 * S
     assert not answer_request(promise, after_expiry, acquire_request("b", 4), CONFIG)[1].granted
     assert not answer_request(promise, after_expiry, acquire_request("b", 3), CONFIG)[1].granted
-    # The holder itself has to go above it once its time has passed: others may have been promised elsewhere.
+    # After expiry the holder needs a new epoch too: other voters may have promised the lease to another.
     assert not answer_request(promise, after_expiry, acquire_request("a", 4), CONFIG)[1].granted
     assert answer_request(promise, after_expiry, acquire_request("a", 5), CONFIG)[1].granted
 
 
-def test_a_renewal_lengthens_and_never_shortens() -> None:
+def test_a_renewal_extends_a_promise_and_never_shortens_it() -> None:
     promise, _ = answer_request(NO_PROMISE, T0, acquire_request("a", 1), CONFIG)
     longer, reply = answer_request(promise, T0 + S, acquire_request("a", 1, 2), CONFIG)
     assert reply.granted and longer.expires_at == T0 + 4 * S
     assert answer_request(longer, T0 + S, acquire_request("a", 1, 3, S), CONFIG)[0].expires_at == T0 + 4 * S
-    assert not answer_request(longer, T0 + S, acquire_request("a", 1, 4, 100 * S), CONFIG)[
-        1
-    ].granted  # beyond what is given
+    # A request for longer than the maximum is refused.
+    assert not answer_request(longer, T0 + S, acquire_request("a", 1, 4, 100 * S), CONFIG)[1].granted
 
 
-def test_after_a_start_without_memory_all_that_may_have_been_promised_is_sat_out() -> None:
+def test_after_a_start_without_stored_promises_nothing_is_granted_until_old_ones_expired() -> None:
     unchanged, reply = answer_request(NO_PROMISE, T0, acquire_request("a", 1), CONFIG, no_grants_until=T0 + S)
     assert unchanged is NO_PROMISE and not reply.granted and reply.retry_after_ns == S
     stored = restore_promise(Promise(3, "a", 1, 2 * S), T0)
@@ -79,15 +78,17 @@
     )
 
 
-def test_a_release_ends_what_it_names_and_nothing_else() -> None:
+def test_a_release_ends_only_the_promise_that_it_names() -> None:
     promise, _ = answer_request(NO_PROMISE, T0, acquire_request("a", 2), CONFIG)
     assert apply_release(promise, T0, Release("d", "a", 1)) is promise
     assert apply_release(promise, T0, Release("d", "b", 2)) is promise
-    free = apply_release(promise, T0 + S, Release("d", "a", 2))
-    assert free.epoch == 2 and answer_request(free, T0 + S, acquire_request("b", 3), CONFIG)[1].granted
+    released = apply_release(promise, T0 + S, Release("d", "a", 2))
+    assert (
+        released.epoch == 2 and answer_request(released, T0 + S, acquire_request("b", 3), CONFIG)[1].granted
+    )
 
 
-# --- The holder -----------------------------------------------------------------------------------------
+# --- The holder's side ----------------------------------------------------------------------------------
 
 
 def held_claim(config: LeaseConfig = CONFIG) -> Claim:
@@ -98,14 +99,14 @@
     return claim
 
 
-def test_a_majority_makes_a_holder_until_its_time_counted_from_the_question() -> None:
+def test_a_majority_grants_the_lease_for_a_time_counted_from_the_request() -> None:
     claim, request = claim_ops.start_acquire(Claim("d", "a"), T0, CONFIG)
     reply = answer_request(NO_PROMISE, T0, request, CONFIG)[1]
     claim = claim_ops.apply_reply(claim, "a", reply, T0, CONFIG)
     assert not claim_ops.is_held(claim, T0)
-    claim = claim_ops.apply_reply(claim, "a", reply, T0, CONFIG)  # one voter twice is one vote
+    claim = claim_ops.apply_reply(claim, "a", reply, T0, CONFIG)  # a repeated reply is one vote
     assert not claim_ops.is_held(claim, T0)
-    claim = claim_ops.apply_reply(claim, "z", reply, T0, CONFIG)  # and one who has no vote is none
+    claim = claim_ops.apply_reply(claim, "z", reply, T0, CONFIG)  # a reply from a non-voter does not count
     assert not claim_ops.is_held(claim, T0)
     claim = claim_ops.apply_reply(claim, "c", reply, T0 + S, CONFIG)
     assert (
@@ -115,7 +116,7 @@
     assert not claim_ops.is_held(claim, claim.expires_at)
 
 
-def test_grants_that_come_too_late_or_from_another_round_count_for_nothing() -> None:
+def test_grants_that_arrive_too_late_or_from_another_round_do_not_count() -> None:
     claim, request = claim_ops.start_acquire(Claim("d", "a"), T0, CONFIG)
     reply = answer_request(NO_PROMISE, T0, request, CONFIG)[1]
     late = T0 + CONFIG.holder_duration_ns
@@ -131,7 +132,7 @@
     )
 
 
-def test_a_holder_renews_in_time_and_a_lost_renewal_can_be_asked_again() -> None:
+def test_a_holder_renews_in_time_and_repeats_a_lost_renewal() -> None:
     claim = held_claim()
     assert not claim_ops.needs_renewal(claim, T0, CONFIG)
     at = T0 + CONFIG.renew_after_ns
@@ -150,7 +151,7 @@
     )
 
 
-def test_what_is_given_back_is_not_held_and_a_hopeless_round_ends_at_once() -> None:
+def test_a_released_lease_is_not_held_and_a_round_without_a_possible_quorum_ends_at_once() -> None:
     stopped, release = claim_ops.release_claim(held_claim(), T0 + S)
     assert release == Release("d", "a", 1) and not claim_ops.is_held(stopped, T0 + S)
     assert claim_ops.release_claim(stopped, T0 + S) == (stopped, None)
@@ -159,7 +160,9 @@
     for voter in ("b", "c"):
         claim = claim_ops.apply_reply(claim, voter, refusal, T0, CONFIG)
     claim = claim_ops.advance_time(claim, T0, CONFIG, MS)
-    assert claim.phase == claim_ops.IDLE and claim.not_before == T0 + S  # shorter than two rounds
+    assert (
+        claim.phase == claim_ops.IDLE and claim.not_before == T0 + S
+    )  # the refusal's wait is shorter than two reply timeouts
     assert claim_ops.start_acquire(claim, T0 + S, CONFIG)[0].epoch == 8
 
 
@@ -167,16 +170,16 @@
     ("granted", "is_quorum"),
     [("ab", False), ("abd", False), ("abc", True), ("ade", False), ("acde", True), ("bcd", False)],
 )  # fmt: skip
-def test_while_a_group_grows_a_majority_of_both_is_needed(granted: str, is_quorum: bool) -> None:
+def test_during_a_membership_change_majorities_of_both_sets_are_needed(granted: str, is_quorum: bool) -> None:
     growing = LeaseConfig(3 * S, 0, VOTERS, frozenset("abcde"))
     assert growing.is_quorum(frozenset(granted)) is (is_quorum or granted in ("abd", "bcd"))
-    # Every set that is enough now meets every one that was before, and every one that will be after.
+    # Every quorum during the change is a quorum before and after it, and so shares a voter with all of those.
     before, after = LeaseConfig(S, 0, VOTERS), LeaseConfig(S, 0, frozenset("abcde"))
     if growing.is_quorum(frozenset(granted)):
         assert before.is_quorum(frozenset(granted)) and after.is_quorum(frozenset(granted))
 
 
-# --- Every order of steps, within bounds ----------------------------------------------------------------
+# --- Exhaustive check within bounds ---------------------------------------------------------------------
 
 
 def test_the_protocol_is_safe_in_every_state_within_bounds() -> None:
@@ -196,7 +199,7 @@
         (DisabledSafeguards(no_memory=True), Bounds(depth=7), "hold d0"),
     ],
 )  # fmt: skip
-def test_without_a_safeguard_the_check_finds_what_it_is_for(
+def test_the_check_finds_the_violation_that_each_safeguard_prevents(
     disabled: DisabledSafeguards, bounds: Bounds, expected: str
 ) -> None:
     result = check(bounds, disabled, ((SLOW, FAST, FAST),))
@@ -204,11 +207,11 @@
     assert disabled != ALL_SAFEGUARDS
 
 
-# --- Long histories under faults ------------------------------------------------------------------------
+# --- Random histories with faults -----------------------------------------------------------------------
 
 
 class SimulatedGroup:
-    """Offices on a simulated network; safety is looked at after every event."""
+    """Lease managers on a simulated network; safety is checked after every event."""
 
     def __init__(self, seed: int, names: str, duties: int, drift: int = 10_000) -> None:
         self.network = SimNetwork(seed)
@@ -246,7 +249,7 @@
         self.apply_effects(name, manager.receive(self.network.clock(name), sender, message))  # type: ignore[arg-type]
 
     def apply_effects(self, name: str, effects: Outbox) -> None:
-        self.stored_promises[name] |= effects.promises  # kept before anything leaves
+        self.stored_promises[name] |= effects.promises  # stored before anything is sent
         for to, message in effects.messages:
             self.network.send(name, to, message)
 
@@ -284,7 +287,7 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.sampled_from(["abc", "abcde"]), STEPS)
-def test_over_any_history_no_duty_has_two_holders_and_all_are_held_once_it_is_calm(
+def test_under_any_faults_no_duty_has_two_holders_and_all_are_held_once_the_faults_end(
     seed: int, names: str, steps: list[tuple[str, int, float]]
 ) -> None:
     group = SimulatedGroup(seed, names, 2)
@@ -322,7 +325,7 @@
     assert sorted(group.holders()) == group.duties
 
 
-def test_the_side_without_a_majority_runs_nothing_and_the_other_takes_over() -> None:
+def test_the_minority_side_of_a_partition_holds_nothing_and_the_other_takes_over() -> None:
     group = SimulatedGroup(5, "abcde", 6)
     group.run(10)
     group.network.faults.partition(set("ab"), set("cde"))
@@ -331,18 +334,18 @@
     assert len(result) == 6 and set(result.values()) <= set("cde")
 
 
-def test_one_that_hung_for_ten_seconds_wakes_with_nothing() -> None:
+def test_an_instance_paused_for_ten_seconds_holds_nothing_when_it_resumes() -> None:
     group = SimulatedGroup(6, "abc", 3)
     group.run(10)
-    hung = next(iter(group.holders().values()))
-    group.network.clocks[hung].stopped_at = group.network.now
+    paused = next(iter(group.holders().values()))
+    group.network.clocks[paused].stopped_at = group.network.now
     group.run(10)
-    manager, now = group.managers[hung], group.network.clock(hung)
-    assert list(manager.held_claims(now)) == []  # asked before its first tick
+    manager, now = group.managers[paused], group.network.clock(paused)
+    assert list(manager.held_claims(now)) == []  # checked before its first tick
     assert len(group.holders()) == 3
 
 
-def test_without_memory_a_restart_sits_out_a_full_promise() -> None:
+def test_a_restart_without_stored_promises_grants_nothing_for_a_full_promise_duration() -> None:
     manager = LeaseManager("a", CONFIG, T0, 1, None, min_epoch=50)
     reply = manager.receive(T0, "b", AcquireRequest("d", "b", 1, 1, S)).messages[0][1]
     assert not reply.granted  # type: ignore[union-attr]
@@ -354,7 +357,7 @@
     assert manager.claims["e"].epoch == 51
 
 
-def test_a_holder_that_no_longer_wants_a_duty_frees_it_at_once() -> None:
+def test_a_holder_that_no_longer_wants_a_duty_releases_it_at_once() -> None:
     group = SimulatedGroup(7, "abc", 1)
     group.run(10)
     (holder,) = group.holders().values()
@@ -367,7 +370,7 @@
     return (message for _, message in effects.messages)
 
 
-def test_asks_in_another_s_name_are_not_heard() -> None:
+def test_requests_and_releases_in_the_name_of_another_instance_are_ignored() -> None:
     manager = LeaseManager("a", CONFIG, T0, 1, {})
     assert not manager.receive(T0, "b", AcquireRequest("d", "c", 1, 1, S))
     manager.receive(T0, "b", AcquireRequest("d", "b", 1, 1, S))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: what a group makes of crashes, hangs, splits and bad networks, in simulated time."""
+"""Group membership under crashes, pauses, partitions and bad networks, in simulated time."""
 
 from __future__ import annotations
 
@@ -62,13 +62,13 @@
 
 
 @pytest.mark.parametrize("size", [2, 5, 20])
-def test_a_group_finds_itself_from_its_seeds(size: int) -> None:
+def test_a_group_forms_from_its_seeds(size: int) -> None:
     group = SimulatedGroup(size)
     group.run(25)
     assert group.agrees() and all(s.health_score == 0 for s in group.swims.values())
 
 
-def test_a_crash_is_found_by_all_and_a_restart_under_the_same_name_comes_back() -> None:
+def test_a_crash_is_detected_by_all_and_a_restarted_instance_rejoins() -> None:
     group = SimulatedGroup(7)
     group.run(25)
     group.crash("i3")
@@ -79,7 +79,7 @@
     assert group.agrees() and group.swims["i3"].incarnation > 0
 
 
-def test_one_that_leaves_is_gone_at_once_and_nobody_suspected_it() -> None:
+def test_an_instance_that_leaves_is_removed_at_once_without_suspicion() -> None:
     group = SimulatedGroup(5)
     group.run(25)
     group.send("i4", group.swims["i4"].leave())
@@ -90,7 +90,7 @@
     assert all(s.suspicions == 0 and s.members["i4"].state == LEFT for s in group.swims.values())
 
 
-def test_one_that_hung_is_taken_for_dead_and_refutes_when_it_wakes() -> None:
+def test_a_paused_instance_is_declared_dead_and_refutes_it_when_it_resumes() -> None:
     group = SimulatedGroup(5)
     group.run(25)
     group.network.clocks["i1"].stopped_at = group.network.now
@@ -98,12 +98,12 @@
     assert all("i1" not in s.live_members() for n, s in group.swims.items() if n != "i1")
     group.network.clocks["i1"].stopped_at = None
     group.run(30)
-    # It judged nobody by what it missed, and the others have it back.
+    # It suspected nobody for the messages it missed, and the others list it as live again.
     assert group.agrees() and group.swims["i1"].suspicions == 0
 
 
 @pytest.mark.parametrize("both_ways", [True, False])
-def test_a_split_that_heals_ends_in_one_view(both_ways: bool) -> None:
+def test_all_views_agree_after_a_partition_heals(both_ways: bool) -> None:
     group = SimulatedGroup(6, seed=3)
     group.run(25)
     group.network.faults.partition({"i0", "i1"}, {"i2", "i3", "i4", "i5"}, both_ways)
@@ -115,7 +115,7 @@
     assert group.agrees()
 
 
-def test_half_the_group_restarted_within_a_second() -> None:
+def test_half_of_the_group_restarts_within_a_second() -> None:
     group = SimulatedGroup(8, seed=4)
     group.run(25)
     for name in group.names[:4]:
@@ -127,7 +127,7 @@
     assert group.agrees()
 
 
-def test_a_steady_hour_on_a_lossy_network_raises_no_false_alarm_that_lasts() -> None:
+def test_an_hour_on_a_lossy_network_declares_no_live_member_dead() -> None:
     group = SimulatedGroup(5, seed=5)
     group.network.faults.loss_rate, group.network.faults.duplicate_rate = 0.02, 0.02
     group.run(25)
@@ -144,9 +144,7 @@
 @given(st.integers(0, 10**6), st.lists(st.tuples(
     st.sampled_from(["crash", "start", "stop", "go", "split", "oneway", "heal", "lossy", "late", "calm"]),
     st.integers(0, 5), st.floats(0.1, 8.0)), max_size=12))  # fmt: skip
-def test_after_any_history_all_who_run_agree_once_it_is_calm(
-    seed: int, steps: list[tuple[str, int, float]]
-) -> None:
+def test_after_any_faults_all_running_instances_agree(seed: int, steps: list[tuple[str, int, float]]) -> None:
     group = SimulatedGroup(6, seed)
     faults = group.network.faults
     group.run(15)
@@ -177,7 +175,7 @@
     assert group.agrees(*(set(group.names) - group.swims.keys()))
 
 
-# --- The order of what is known -------------------------------------------------------------------------
+# --- Order of rumours -----------------------------------------------------------------------------------
 
 RUMOURS = st.lists(
     st.builds(Rumour, st.sampled_from(["x", "y"]), st.just("a"), st.integers(0, 3),
@@ -187,8 +185,8 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(RUMOURS, st.integers(0, 1000))
-def test_the_order_in_which_rumours_come_changes_nothing(rumours: list[Rumour], seed: int) -> None:
-    # Both have to be known first: what was never heard of and is gone is nothing to know.
+def test_the_order_of_rumours_does_not_change_the_result(rumours: list[Rumour], seed: int) -> None:
+    # Both members have to be known first: an unknown member that is already gone is not recorded.
     first = [Rumour(n, "a", 0, ALIVE) for n in "xy"]
     shuffled = list(rumours)
     random.Random(seed).shuffle(shuffled)
@@ -201,7 +199,7 @@
     assert views[0] == views[1]
 
 
-def test_a_rumour_of_one_s_own_death_is_refuted_and_a_suspect_hears_of_it_first() -> None:
+def test_a_rumour_of_its_own_death_is_refuted_and_a_suspect_is_told_of_the_suspicion() -> None:
     swim = Swim("me", "m", [], 0, 1)
     swim.receive(0, Sync("z", "z", False, (Rumour("me", "m", 4, DEAD),)))
     assert swim.incarnation == 5 and swim.own_rumour().state == ALIVE
@@ -219,8 +217,8 @@
     for at in range(0, 300, 10):
         swim.receive(0, Sync("n0", "n0", False, everyone[at : at + 10]))
     swim.receive(0, Sync("n1", "n1", False, (Rumour("n9", "n9", 0, SUSPECT),)))
-    alone = swim.members["n9"].declare_dead_at
+    unconfirmed = swim.members["n9"].declare_dead_at
     for source in ("n2", "n3", "n4"):
         swim.receive(0, Sync(source, source, False, (Rumour("n9", "n9", 0, SUSPECT),)))
-    assert swim.members["n9"].declare_dead_at < alone
+    assert swim.members["n9"].declare_dead_at < unconfirmed
     assert all(len(m.rumours) <= 17 for _, m in swim.tick(2 * S))
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""The background scheduler and the division of duties: decisions from values and times alone."""
+"""The background scheduler, and the assignment of duties to instances."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class SimulatedMachine:
-    """A clock that moves by what each slice takes."""
+    """A scheduler with a clock that advances by the duration of each slice."""
 
     def __init__(self, **budgets: int) -> None:
         self.now = T0
@@ -53,7 +53,7 @@
         return self.scheduler.run_iteration(self.now, lambda: self.now, busy)
 
 
-def test_the_most_urgent_goes_first_and_equals_in_the_order_of_waiting() -> None:
+def test_the_most_urgent_job_runs_first_and_equal_ones_in_order_of_waiting() -> None:
     machine = SimulatedMachine()
     for name, priority in (("idle", IDLE), ("b", NORMAL), ("urgent", URGENT)):
         machine.scheduler.submit(machine.spec(name, priority=priority), machine.now)
@@ -64,7 +64,7 @@
     )
 
 
-def test_runs_of_equal_priority_take_turns() -> None:
+def test_runs_of_equal_priority_alternate() -> None:
     machine = SimulatedMachine(iteration_ns=10 * MS)
     for name in "ab":
         machine.scheduler.submit(machine.spec(name, slices=3), machine.now)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(("busy", "limit"), [(False, MS + MS // 2), (True, MS // 4 + MS // 2)])
-def test_a_turn_is_delayed_by_its_budget_and_one_slice_at_most(busy: bool, limit: int) -> None:
+def test_an_iteration_is_delayed_by_its_budget_and_one_slice_at_most(busy: bool, limit: int) -> None:
     machine = SimulatedMachine(burst_ns=S, share_ppm=1_000_000)
     machine.scheduler.submit(machine.spec("long", slices=10_000, elapsed_ns=MS // 2), machine.now)
     for _ in range(50):
@@ -90,7 +90,7 @@
     assert machine.slices_run == ["idle"]
 
 
-def test_all_background_work_together_takes_its_share_of_time() -> None:
+def test_all_background_work_together_stays_within_its_share_of_time() -> None:
     machine = SimulatedMachine(share_ppm=100_000, burst_ns=5 * MS)
     for name in "abc":
         machine.scheduler.submit(machine.spec(name, slices=10**6, elapsed_ns=MS // 2), machine.now)
@@ -100,7 +100,7 @@
     assert 0.08 <= used / (machine.now - started_at) <= 0.11
 
 
-def test_a_job_of_long_slices_stands_back_and_is_cut_in_the_end() -> None:
+def test_a_job_with_long_slices_is_throttled_and_finally_aborted() -> None:
     machine = SimulatedMachine(max_long_slices=3)
     machine.scheduler.submit(machine.spec("slow", slices=100, elapsed_ns=20 * MS), machine.now)
     machine.scheduler.submit(machine.spec("quick", slices=30), machine.now)
@@ -113,7 +113,7 @@
     assert machine.slices_run.count("slow") == 3
 
 
-def test_a_run_past_its_deadline_is_ended_and_one_that_fails_costs_no_other() -> None:
+def test_a_run_past_its_deadline_ends_and_a_failing_one_does_not_affect_others() -> None:
     machine = SimulatedMachine()
 
     def failing_slices() -> Generator[None, None, None]:
@@ -134,7 +134,7 @@
     }
 
 
-def test_a_rate_bounds_slices_a_second() -> None:
+def test_a_rate_limits_the_slices_per_second() -> None:
     machine = SimulatedMachine()
     machine.scheduler.submit(machine.spec("probes", slices=1000, rate_milli=20_000), machine.now)
     for _ in range(200):
@@ -142,7 +142,7 @@
     assert 30 <= len(machine.slices_run) <= 42
 
 
-def test_periodic_work_runs_once_a_period_with_jitter_and_does_not_stretch() -> None:
+def test_periodic_work_runs_once_per_period_with_jitter_and_without_drift() -> None:
     machine = SimulatedMachine()
     machine.scheduler.add_periodic(machine.spec("probe", period_ns=S), machine.now)
     started_at = machine.now
@@ -157,7 +157,7 @@
     assert min(gaps) > 0.85 * S and max(gaps) < 1.15 * S and len({g // (10 * MS) for g in gaps}) > 5
 
 
-def test_after_a_long_stop_a_period_is_run_once_not_made_up_for() -> None:
+def test_missed_periods_are_not_made_up_for_after_a_pause() -> None:
     machine = SimulatedMachine()
     machine.scheduler.add_periodic(machine.spec("probe", period_ns=S), machine.now)
     machine.run_iteration(advance_ns=30 * S)
@@ -165,7 +165,7 @@
     assert machine.slices_run == ["probe"]
 
 
-def test_cancelled_work_is_closed_where_it_stands() -> None:
+def test_cancelling_a_job_closes_its_generator() -> None:
     machine, closed = SimulatedMachine(iteration_ns=1), list[str]()
 
     def work() -> Generator[None, None, None]:
@@ -186,7 +186,7 @@
     assert machine.scheduler.next_due_at(machine.now) is None
 
 
-def test_the_loop_is_told_when_to_look_again() -> None:
+def test_the_scheduler_tells_when_it_is_next_due() -> None:
     machine = SimulatedMachine()
     machine.scheduler.add_periodic(machine.spec("later", period_ns=S), machine.now)
     due = machine.scheduler.jobs["later"].due_at
@@ -201,7 +201,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(1, 20), st.integers(1, 30), st.sampled_from([URGENT, NORMAL, IDLE])),
                 min_size=1, max_size=8), st.booleans())  # fmt: skip
-def test_all_that_is_asked_for_ends_and_no_turn_is_held_up(
+def test_all_submitted_jobs_end_and_no_iteration_exceeds_its_budget_by_more_than_one_slice(
     work: list[tuple[int, int, int]], busy: bool
 ) -> None:
     machine = SimulatedMachine(burst_ns=20 * MS)
@@ -217,13 +217,13 @@
     assert sorted(result.name for result in machine.scheduler.results) == sorted(map(str, range(len(work))))
 
 
-# --- Who runs what --------------------------------------------------------------------------------------
+# --- Assignment of duties -------------------------------------------------------------------------------
 
 DUTIES = [f"probe:{n}" for n in range(1000)]
 
 
 @pytest.mark.parametrize("members", [1, 3, 5, 50])
-def test_every_duty_has_one_member_and_none_has_too_many(members: int) -> None:
+def test_every_duty_has_one_member_and_no_member_exceeds_its_capacity(members: int) -> None:
     names = [f"i{n}" for n in range(members)]
     placements = assign(DUTIES, names)
     assert sorted(placements) == sorted(DUTIES)
@@ -234,13 +234,13 @@
     )
 
 
-def test_the_order_in_which_they_are_listed_changes_nothing() -> None:
+def test_the_order_of_the_arguments_does_not_change_the_assignment() -> None:
     names = [f"i{n}" for n in range(7)]
     assert assign(DUTIES, names) == assign(reversed(DUTIES), reversed(names)) and assign(DUTIES, []) == {}
 
 
 @pytest.mark.parametrize("members", [5, 20, 50])
-def test_a_death_moves_about_its_part_and_little_else(members: int) -> None:
+def test_a_failure_moves_the_duties_of_the_failed_member_and_few_others(members: int) -> None:
     names = [f"i{n}" for n in range(members)]
     before = assign(DUTIES, names)
     for removed in names[:3]:
