--- a/arrowrail/duties/run_schedule.py
+++ b/arrowrail/duties/run_schedule.py
@@ -21,7 +21,7 @@
     def set_epoch(self, now: int, epoch: int) -> None:
         """Start under a new epoch; the first run of a new holder is one whole period away.
 
-        The previous holder may have run the duty until its lease expired, and the news of that may be lost.
+        The previous holder may have run the duty until its lease expired, and its last result may be lost.
         Two runs in quick succession would load the exchange twice; one that is a little late does no harm.
         """
         if epoch != self.epoch:
--- a/arrowrail/lab/bench.py
+++ b/arrowrail/lab/bench.py
@@ -23,7 +23,7 @@
 from arrowrail.core.engine import Core
 from arrowrail.core.requests import FinalResponse, ReleaseOutcome, Request, SetUpParams
 from arrowrail.lab.processes import ROOT, Crew, free_ports, listens, until
-from arrowrail.lab.simgroup import movement, traffic
+from arrowrail.lab.simgroup import measure_group, measure_reassignment
 from arrowrail.lab.unlimited import NoLimits
 from arrowrail.sidecar.admission import RecordsAdmission
 from arrowrail.sidecar.compile import compile_
@@ -272,5 +272,8 @@
     yield "limits, on sockets", on_sockets()
     yield "duties, on sockets", on_sockets("group")
     yield "memory", memory(before)
-    yield "a death's duties", [movement(size) for size in (5, 50, 500)]
-    yield "group, simulated", [traffic(5, 10_000, 10), traffic(50, 50, 30), traffic(150, 50, 5)]
+    yield "a death's duties", [measure_reassignment(size) for size in (5, 50, 500)]
+    yield (
+        "group, simulated",
+        [measure_group(5, 10_000, 10), measure_group(50, 50, 30), measure_group(150, 50, 5)],
+    )
--- a/arrowrail/lab/simgroup.py
+++ b/arrowrail/lab/simgroup.py
@@ -1,7 +1,8 @@
 """Simulated groups, at sizes that would not fit on one machine as processes; used by the benchmark.
 
 Measures messages and bytes per instance and second, the time until a failure is detected and its duties are
-held again, false suspicions, and duties moved.  A fixed few instances are voters; the others do all the rest.
+held again, false suspicions, and duties moved.  A fixed few instances are voters, which take part in
+everything else as well.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
         self.shards = {shard_of(duty) for duty in self.duties}
         self.stored_promises: dict[str, dict[str, Promise]] = {}
         self.instances: dict[str, Instance] = {}
-        self.death_heard_at: dict[str, int] = {}  # by instance: when it first heard of the death
+        self.death_heard_at: dict[str, int] = {}  # by instance: when it first listed a member as dead
         self.suspicions = 0
         for name in self.names:
             self.start(name)
@@ -86,7 +87,7 @@
         )
 
 
-def traffic(size: int, duties: int, seconds: float, seed: int = 1) -> dict[str, Any]:
+def measure_group(size: int, duties: int, seconds: float, seed: int = 1) -> dict[str, Any]:
     """A steady group, then the failure of one instance: message rates, detection and takeover times."""
     group = SimGroup(size, duties, seed, 10 * S)
     group.run(20 + size / 10)
@@ -121,7 +122,7 @@
     }  # fmt: skip
 
 
-def movement(size: int, duties: int = 10_000) -> dict[str, Any]:
+def measure_reassignment(size: int, duties: int = 10_000) -> dict[str, Any]:
     """How many duties one failure moves, compared with the failed instance's own."""
     names = [f"i{n}" for n in range(size)]
     duty_names = [f"probe:{n}" for n in range(duties)]
--- a/arrowrail/lab/simnet.py
+++ b/arrowrail/lab/simnet.py
@@ -22,9 +22,8 @@
 
     offset: int = 0
     drift_ppm: int = 0
-    stopped_at: int | None = (
-        None  # true time since which the node is stopped (as by SIGSTOP); its clock goes on
-    )
+    # True time since which the node is stopped, as by SIGSTOP; its clock continues.
+    stopped_at: int | None = None
 
     def read(self, true_time: int) -> int:
         return self.offset + true_time * (MILLION + self.drift_ppm) // MILLION
--- a/arrowrail/leases/claim.py
+++ b/arrowrail/leases/claim.py
@@ -45,23 +45,21 @@
     ``min_epoch`` is a lower bound for the case that epochs used earlier are not known.
     """
     epoch = max(claim.highest_epoch, claim.epoch, min_epoch) + 1
-    requested = replace(
+    updated = replace(
         claim, phase=ASKING, epoch=epoch, highest_epoch=epoch, round=claim.round + 1, requested_at=now,
         expires_at=0, granted_by=frozenset(), refused_by=frozenset(), valid_ns=config.holder_duration_ns,
     )  # fmt: skip
-    return requested, AcquireRequest(
-        requested.duty, requested.holder, epoch, requested.round, config.duration_ns
-    )
+    return updated, AcquireRequest(updated.duty, updated.holder, epoch, updated.round, config.duration_ns)
 
 
 def start_renewal(claim: Claim, now: int, config: LeaseConfig) -> tuple[Claim, AcquireRequest]:
     """Start another round under the same epoch; the lease stays valid until it expires."""
-    requested = replace(
+    updated = replace(
         claim, round=claim.round + 1, requested_at=now, granted_by=frozenset(), refused_by=frozenset(),
         valid_ns=config.holder_duration_ns,
     )  # fmt: skip
-    return requested, AcquireRequest(
-        requested.duty, requested.holder, requested.epoch, requested.round, config.duration_ns
+    return updated, AcquireRequest(
+        updated.duty, updated.holder, updated.epoch, updated.round, config.duration_ns
     )
 
 
--- a/arrowrail/leases/promise.py
+++ b/arrowrail/leases/promise.py
@@ -77,8 +77,8 @@
             request.duty, request.epoch, request.round, False, promise.epoch, retry_after_ns
         )
     expires_at = max(promise.expires_at if active else 0, now + request.duration_ns)
-    renewed = Promise(request.epoch, request.holder, expires_at, request.duration_ns)
-    return renewed, Reply(request.duty, request.epoch, request.round, True, request.epoch)
+    new_promise = Promise(request.epoch, request.holder, expires_at, request.duration_ns)
+    return new_promise, Reply(request.duty, request.epoch, request.round, True, request.epoch)
 
 
 def apply_release(promise: Promise, now: int, release: Release) -> Promise:
--- a/arrowrail/scheduling/scheduler.py
+++ b/arrowrail/scheduling/scheduler.py
@@ -45,7 +45,7 @@
     priority: int = NORMAL
     max_jitter_ppm: int = 100_000  # random delay of each run, as a share of the period
     deadline_ns: int = 0  # a run that takes longer is ended; 0: none
-    rate_milli: int = 0  # most slices in 1,000 s; 0: limited by the budgets only
+    max_slices_per_1000_s: int = 0  # 0: limited by the budgets only
 
 
 @dataclass(slots=True)
@@ -200,8 +200,8 @@
             job.long_slices += 1
             # A job with a long slice pauses for as long as its share of time needs to make up for it.
             job.not_before = now + elapsed_ns * MILLION // max(1, self.budgets.share_ppm)
-        if job.spec.rate_milli:
-            job.not_before = max(job.not_before, now + 1000 * S // job.spec.rate_milli)
+        if job.spec.max_slices_per_1000_s:
+            job.not_before = max(job.not_before, now + 1000 * S // job.spec.max_slices_per_1000_s)
         if run_outcome:
             self._finish_run(job, run_outcome)
         elif job.long_slices >= self.budgets.max_long_slices:
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -369,7 +369,8 @@
 
 @settings(max_examples=8, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.lists(st.tuples(
-    st.sampled_from(["crash", "start", "stop", "go", "split", "oneway", "heal", "lossy", "late", "calm"]),
+    st.sampled_from(["crash", "start", "stop", "resume", "partition", "one_way_partition", "heal",
+                     "lossy", "delay_spikes", "clear"]),
     st.integers(0, 4), st.floats(0.5, 9.0)), max_size=10))  # fmt: skip
 def test_under_any_faults_no_duty_runs_twice_and_all_run_once_the_faults_end(
     seed: int, steps: list[tuple[str, int, float]]
@@ -383,15 +384,15 @@
             group.crash(name)
         elif action == "start" and name not in group.instances:
             group.start(name)
-        elif action in ("stop", "go"):
+        elif action in ("stop", "resume"):
             group.network.clocks[name].stopped_at = group.network.now if action == "stop" else None
-        elif action in ("split", "oneway"):
-            faults.partition({name}, set(FIVE_INSTANCES) - {name}, action == "split")
+        elif action in ("partition", "one_way_partition"):
+            faults.partition({name}, set(FIVE_INSTANCES) - {name}, action == "partition")
         elif action == "heal":
             faults.heal()
         elif action == "lossy":
             faults.loss_rate = faults.duplicate_rate = 0.2
-        elif action == "late":
+        elif action == "delay_spikes":
             faults.spike_rate = 0.2
         else:
             faults.loss_rate = faults.duplicate_rate = faults.spike_rate = 0.0
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -278,7 +278,8 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["split", "oneway", "heal", "crash", "start", "stop", "go", "lossy", "late", "calm"]),
+        st.sampled_from(["partition", "one_way_partition", "heal", "crash", "start", "stop", "resume",
+                         "lossy", "delay_spikes", "clear"]),
         st.integers(0, 4), st.floats(0.1, 4.0),
     ),
     max_size=14,
@@ -295,8 +296,8 @@
     for action, number, seconds in steps:
         name = names[number % len(names)]
         others = set(names) - {name}
-        if action in ("split", "oneway"):
-            faults.partition({name}, others, action == "split")
+        if action in ("partition", "one_way_partition"):
+            faults.partition({name}, others, action == "partition")
         elif action == "heal":
             faults.heal()
         elif action == "crash" and name in group.managers:
@@ -305,11 +306,11 @@
             group.start(name)
         elif action == "stop":
             group.network.clocks[name].stopped_at = group.network.now
-        elif action == "go":
+        elif action == "resume":
             group.network.clocks[name].stopped_at = None
         elif action == "lossy":
             faults.loss_rate, faults.duplicate_rate = 0.3, 0.3
-        elif action == "late":
+        elif action == "delay_spikes":
             faults.spike_rate = 0.2
         else:
             faults.loss_rate = faults.duplicate_rate = faults.spike_rate = 0.0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -142,7 +142,8 @@
 
 @settings(max_examples=30, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.lists(st.tuples(
-    st.sampled_from(["crash", "start", "stop", "go", "split", "oneway", "heal", "lossy", "late", "calm"]),
+    st.sampled_from(["crash", "start", "stop", "resume", "partition", "one_way_partition", "heal",
+                     "lossy", "delay_spikes", "clear"]),
     st.integers(0, 5), st.floats(0.1, 8.0)), max_size=12))  # fmt: skip
 def test_after_any_faults_all_running_instances_agree(seed: int, steps: list[tuple[str, int, float]]) -> None:
     group = SimulatedGroup(6, seed)
@@ -154,15 +155,15 @@
             group.crash(name)
         elif action == "start" and name not in group.swims:
             group.start(name)
-        elif action in ("stop", "go"):
+        elif action in ("stop", "resume"):
             group.network.clocks[name].stopped_at = group.network.now if action == "stop" else None
-        elif action in ("split", "oneway"):
-            faults.partition({name}, set(group.names) - {name}, action == "split")
+        elif action in ("partition", "one_way_partition"):
+            faults.partition({name}, set(group.names) - {name}, action == "partition")
         elif action == "heal":
             faults.heal()
         elif action == "lossy":
             faults.loss_rate = faults.duplicate_rate = 0.3
-        elif action == "late":
+        elif action == "delay_spikes":
             faults.spike_rate = 0.3
         else:
             faults.loss_rate = faults.duplicate_rate = faults.spike_rate = 0.0
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -121,7 +121,7 @@
         raise RuntimeError("broken")
 
     machine.scheduler.submit(
-        machine.spec("late", slices=1000, deadline_ns=50 * MS, rate_milli=100_000), machine.now
+        machine.spec("late", slices=1000, deadline_ns=50 * MS, max_slices_per_1000_s=100_000), machine.now
     )
     machine.scheduler.submit(JobSpec("fails", failing_slices), machine.now)
     machine.scheduler.submit(machine.spec("good", slices=3), machine.now)
@@ -136,7 +136,7 @@
 
 def test_a_rate_limits_the_slices_per_second() -> None:
     machine = SimulatedMachine()
-    machine.scheduler.submit(machine.spec("probes", slices=1000, rate_milli=20_000), machine.now)
+    machine.scheduler.submit(machine.spec("probes", slices=1000, max_slices_per_1000_s=20_000), machine.now)
     for _ in range(200):
         machine.run_iteration()
     assert 30 <= len(machine.slices_run) <= 42
