--- a/arrowrail/wire/binary/messages.py
+++ b/arrowrail/wire/binary/messages.py
@@ -111,7 +111,7 @@
 
 def _parse_number(text: bytes) -> int:
     if not text.isdigit() or int(text[:12]) > MAX_NUMBER:
-        raise ValueError(f"number {text[:20]!r}")
+        raise ValueError(f"invalid or out-of-range number {text[:20]!r}")
     return int(text)
 
 
@@ -119,7 +119,7 @@
     pairs = dict(part.split(":", 1) for part in text.split(";") if ":" in part)
     free, size = float(pairs.get("spare", -1)), float(pairs.get("total", -1))
     if not (-1 <= free <= MAX_NUMBER and -1 <= size <= MAX_NUMBER):  # rejects NaN as well
-        raise ValueError(f"trunk group state {text[:40]!r}")
+        raise ValueError(f"invalid trunk group state {text[:40]!r}")
     return free, size
 
 
--- a/arrowrail/wire/sip/frontend.py
+++ b/arrowrail/wire/sip/frontend.py
@@ -31,7 +31,7 @@
 # A caller has to get a response or a close within 3 s; this is the time it has to complete a message,
 # including its first one.
 MESSAGE_TIMEOUT_NS = 2_000 * MS
-# Callers close connections after 4 s without calls: one that is idle for longer is kept open on purpose.
+# Callers close connections after 4 s without calls: one that is idle for longer is held by its peer.
 EVICTABLE_IDLE_NS = 5_000 * MS
 FIRST_MESSAGE_GRACE_NS = 250 * MS  # a new connection without input is evicted only after this time
 SWEEP_INTERVAL_NS = 1_000 * MS
@@ -80,9 +80,9 @@
 
     def received(self, data: bytes) -> None:
         self.idle_since = self.frontend.loop.now
-        found = self.parser.feed(data)
-        self.message_timeout.update(self.parser.pending, bool(found))
-        for message in found:
+        messages = self.parser.feed(data)
+        self.message_timeout.update(self.parser.pending, bool(messages))
+        for message in messages:
             if isinstance(message, sip.Malformed):
                 self.frontend.handle_malformed(self, message)
             else:
@@ -147,8 +147,9 @@
         )
 
     def _evict_idle(self) -> bool:
-        """Closes one connection: a closing one first, then one without input, then one idle for long.
+        """Closes one connection without pending calls to make room; returns false if there is none.
 
+        Closing connections go first, then those without a request, then those that are idle for long.
         Guards against discarding a set-up unread: a new connection gets time to send its first message, and
         one with unread input is not closed.
         """
@@ -202,6 +203,7 @@
         self.loop.timers.schedule(now + SWEEP_INTERVAL_NS, self._sweep)
 
     def connection_closed(self, caller: CallerConnection) -> None:
+        """Removes a connection and abandons its pending calls; releases on it may be sent again."""
         if self.callers.remove(caller.handle) is None:
             return
         caller.message_timeout.cancel()
@@ -366,7 +368,7 @@
 def _parse_integer(text: str, low: int, high: int) -> int:
     # Plain digits only: int() also accepts spaces and digits of other scripts, which other systems don't.
     if not INTEGER.fullmatch(text) or not low <= int(text) <= high:
-        raise ValueError(f"number {text[:20]!r}")
+        raise ValueError(f"invalid or out-of-range number {text[:20]!r}")
     return int(text)
 
 
--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -1,4 +1,4 @@
-"""The rules on real sockets: SIP callers before the program, binary desk exchanges behind it."""
+"""SIP callers and desk exchanges with the binary protocol, against a whole controller on loopback sockets."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
 
 
 def test_a_call_is_set_up_answered_and_released_by_the_desk_exchange() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, caller = desk.desk(), Caller(run.port)
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A)
         sent = set_up(peer, A)
         assert (sent.class_name, sent.number, sent.session_description) == ("check", "00000000000000ab", SDP)
@@ -58,10 +58,10 @@
         tell(peer, binary.RELEASE, A, cause=16)
         assert caller.bye(A).headers["reason"] == "Q.850;cause=16"
         assert peer.take(lambda m: m.message_type == binary.RELEASE_ACK).call_id == int(A, 16)
-        tell(peer, binary.RELEASE, A, cause=16)  # told twice, as on a next connection
+        tell(peer, binary.RELEASE, A, cause=16)  # repeated, as after a reconnect
         caller.send("OPTIONS", B)
         first = caller.take()
-        assert (first.call_id, first.status) == (B, 200)  # no second release came before it
+        assert (first.call_id, first.status) == (B, 200)  # no second release was sent before it
 
 
 @pytest.mark.parametrize(
@@ -74,14 +74,14 @@
         (102, "group_full", 0, 503),
     ],
 )
-def test_a_refusal_is_answered_at_once_with_when_to_come_back(
+def test_a_refusal_is_answered_at_once_with_a_retry_time(
     cause: int, reason: str, wait_ms: int, status: int
 ) -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, caller = desk.desk(), Caller(run.port)
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A)
-        for _ in range(4 if cause == 47 else 1):  # a fault is no reason not to try the same way again
+        for _ in range(4 if cause == 47 else 1):  # a server error allows further attempts on the same route
             set_up(peer, A)
             tell(peer, binary.RELEASE, A, cause=cause, reason=reason, retry_after_ms=wait_ms)
         answer = caller.answer(A)
@@ -90,20 +90,20 @@
 
 @contextmanager
 def tandems(third: Listening) -> Iterator[tuple[Running, Peer[binary.BinaryMessage], Caller]]:
-    """The direct group to exchange 1 is full; calls there go over the tandems 2 or 3."""
-    ports = [Listening(), Listening()]
-    addresses = [*(p.address for p in ports), third.address]
+    """The direct trunk group to exchange 1 is full; calls to it go over tandem 2 or 3."""
+    servers = [Listening(), Listening()]
+    addresses = [*(p.address for p in servers), third.address]
     with running(*(target(f"d{n}", a, n) for n, a in enumerate(addresses, 1))) as run:
-        ports[0].desk(free=0)
-        second = ports[1].desk()
+        servers[0].desk(free=0)
+        second = servers[1].desk()
         run.until(lambda: len([g for g in run.core.decision_module.trunk_groups.values() if g.size > 0]) >= 2)
         yield run, second, Caller(run.port)
 
 
-def test_after_a_reset_the_next_attempt_waits_for_the_release_pause() -> None:
-    port = Listening()
-    with tandems(port) as (run, second, caller):
-        peers = {2: second, 3: port.desk()}
+def test_after_a_reset_the_next_attempt_waits_for_the_release_time() -> None:
+    server = Listening()
+    with tandems(server) as (run, second, caller):
+        peers = {2: second, 3: server.desk()}
         run.until(lambda: run.core.decision_module.trunk_groups[3].size > 0)
         caller.invite(A)
         run.until(lambda: run.core.find(A) is not None and run.core.find(A).current_attempt is not None)  # type: ignore[union-attr]
@@ -118,9 +118,9 @@
 
 
 def test_no_answer_by_the_deadline_ends_in_one_failure_and_a_late_answer_is_released() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, caller = desk.desk(), Caller(run.port)
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A, patience=150)
         set_up(peer, A)
         assert caller.answer(A).status == 500
@@ -131,31 +131,31 @@
         assert caller.take().call_id == B
 
 
-def test_a_cancel_gives_the_set_up_up_and_a_crossed_answer_is_released() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, caller = desk.desk(), Caller(run.port)
+def test_a_cancel_ends_the_set_up_and_a_crossing_answer_is_released() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A)
         set_up(peer, A)
         caller.send("CANCEL", A)
         assert caller.answer(A, "CANCEL").status == 200
         assert caller.answer(A).status == 487
         assert release(peer, A).cause == 16
-        tell(peer, binary.ANSWER, A, session_description=ANSWER)  # it had left before the release came
+        tell(peer, binary.ANSWER, A, session_description=ANSWER)  # sent before the release arrived
         assert release(peer, A).cause == 16
         caller.invite(B)
         set_up(peer, B)
         tell(peer, binary.ANSWER, B, session_description=ANSWER)
         assert caller.answer(B).status == 200
-        caller.send("CANCEL", B)  # it had left before our answer came
+        caller.send("CANCEL", B)  # sent before the 200 arrived
         assert release(peer, B).cause == 16
         run.until(lambda: not len(run.core.requests))
 
 
-def test_a_release_before_the_answer_gives_the_set_up_up() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, caller = desk.desk(), Caller(run.port)
+def test_a_release_before_the_answer_cancels_the_set_up() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A)
         set_up(peer, A)
         caller.send("BYE", A)
@@ -163,10 +163,10 @@
         assert release(peer, A).cause == 16
 
 
-def test_a_caller_that_closes_gives_its_attempts_up() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, caller = desk.desk(), Caller(run.port)
+def test_a_caller_that_closes_abandons_its_pending_calls() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A)
         set_up(peer, A)
         caller.sock.close()
@@ -174,10 +174,10 @@
         run.until(lambda: not run.core.unanswered)
 
 
-def test_a_standing_call_is_released_on_any_connection() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, first, other = desk.desk(), Caller(run.port), Caller(run.port)
+def test_an_established_call_is_released_on_any_connection() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, first, other = server.desk(), Caller(run.port), Caller(run.port)
         for call in (A, B, C):
             first.invite(call)
             set_up(peer, call)
@@ -198,15 +198,15 @@
         tell(peer, binary.RELEASE, C, cause=16)
         run.until(lambda: run.program.front.releases.pending)
         third = Caller(run.port)
-        assert third.bye(C).call_id == C  # on the next that opens
-        third.sock.close()  # before it confirmed: the release may have crossed the close
+        assert third.bye(C).call_id == C  # on the next connection
+        third.sock.close()  # without an acknowledgement: the release may have crossed the close
         assert Caller(run.port).bye(C).call_id == C
 
 
-def test_a_standing_call_outlives_its_connection_and_the_next_one_brings_its_release() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, caller = desk.desk(), Caller(run.port)
+def test_an_established_call_survives_its_connection_and_is_released_on_the_next() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A)
         set_up(peer, A)
         tell(peer, binary.ANSWER, A, session_description=ANSWER)
@@ -214,40 +214,40 @@
         caller.invite(B)
         set_up(peer, B)
         peer.reset()
-        peer = desk.desk()
-        assert run.core.find(A) is not None  # no connection owns it
-        assert release(peer, B).cause == 16  # it may have run
-        set_up(peer, B)  # after the pause, as the one way there is as good as before
+        peer = server.desk()
+        assert run.core.find(A) is not None  # established calls are not bound to a connection
+        assert release(peer, B).cause == 16  # the server may have accepted it
+        set_up(peer, B)  # after the release time, on the only route
         tell(peer, binary.ANSWER, B, session_description=ANSWER)
         assert caller.answer(B).status == 200
         tell(peer, binary.RELEASE, A, cause=16)
         assert caller.bye(A).call_id == A
 
 
-def test_a_release_for_an_exchange_that_is_out_of_reach_follows_on_its_next_connection() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, caller = desk.desk(), Caller(run.port)
+def test_a_release_for_an_unreachable_exchange_is_sent_on_its_next_connection() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A)
         set_up(peer, A)
         tell(peer, binary.ANSWER, A)
         caller.answer(A)
-        desk.sock.close()
+        server.sock.close()
         peer.reset()
-        back: Any = run.core.backends["binary"]
-        run.until(lambda: back.pools[1].connections[0].stream is None)
+        backend: Any = run.core.backends["binary"]
+        run.until(lambda: backend.pools[1].connections[0].stream is None)
         caller.send("BYE", A)
         assert caller.answer(A, "BYE").status == 200
-        again = socket.create_server(("127.0.0.1", desk.port))
+        again = socket.create_server(("127.0.0.1", server.port))
         again.settimeout(20)
         peer = Peer(again.accept()[0], binary.BinaryParser().feed)
         assert release(peer, A).cause == 16
 
 
-def test_a_release_that_went_down_with_its_connection_is_sent_again() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, caller = desk.desk(), Caller(run.port)
+def test_a_release_lost_with_its_connection_is_sent_again() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, caller = server.desk(), Caller(run.port)
         for call in (A, B):
             caller.invite(call)
             set_up(peer, call)
@@ -261,15 +261,16 @@
         connection = run.core.backends["binary"].pools[1].connections[0]  # type: ignore[attr-defined]
         run.until(lambda: set(connection.unacknowledged_releases) == {B})
         peer.reset()
-        assert release(desk.desk(), B).call_id == int(B, 16)
+        assert release(server.desk(), B).call_id == int(B, 16)
         assert run.look(lambda: A not in connection.unacknowledged_releases)
 
 
-def test_a_refused_connection_proves_that_nothing_ran_and_needs_no_pause() -> None:
-    port = Listening()
-    port.sock.close()
-    with tandems(port) as (run, second, caller):
-        for n in range(1, 40):  # equal tandems are drawn: at some point the one that refuses is tried first
+def test_after_a_refused_connection_the_next_attempt_follows_at_once() -> None:
+    """A refused connection proves that the set-up was not received, so no release time applies."""
+    server = Listening()
+    server.sock.close()
+    with tandems(server) as (run, second, caller):
+        for n in range(1, 40):  # equal tandems are drawn at random: at some point the refusing one is first
             caller.invite(f"{n:016x}")
             set_up(second, f"{n:016x}")
             request = run.core.find(f"{n:016x}")
@@ -280,15 +281,15 @@
         assert (request.attempts, request.next_attempt_ns, request.last_outcome[0]) == (2, 0, "no_connection")
 
 
-def test_what_is_queued_behind_a_stalled_peer_is_taken_back_at_a_drain() -> None:
-    desk, bus = Listening(receive_buffer=2048), BusStand()
-    with running(target("d1", desk.address, 1), bus=bus.port.address) as run:
+def test_set_ups_queued_for_a_stalled_peer_are_discarded_at_a_drain() -> None:
+    server, bus = Listening(receive_buffer=2048), BusStand()
+    with running(target("d1", server.address, 1), bus=bus.port.address) as run:
         assert bus.accept() == 1
-        peer, caller = desk.desk(free=1000), Caller(run.port)
+        peer, caller = server.desk(free=1000), Caller(run.port)
         run.until(lambda: run.core.decision_module.trunk_groups[1].size > 0)
-        back: Any = run.core.backends["binary"]
+        backend: Any = run.core.backends["binary"]
         calls, queued = [f"{n:016x}" for n in range(1, 40)], []
-        for call in calls:  # the peer reads nothing: at some point a set-up stays with us whole
+        for call in calls:  # the peer does not read: at some point a set-up stays unsent
             before = len(run.core.request_handles) + len(run.core.ended_calls)
             caller.invite(call, body=b"x" * 15000)
             run.until(
@@ -296,15 +297,17 @@
                     len(run.core.request_handles) + len(run.core.ended_calls) > before
                 )
             )
-            queued = run.look(lambda: [c for c in calls if back.pools[1].connections[0].stream.is_unsent(c)])
+            queued = run.look(
+                lambda: [c for c in calls if backend.pools[1].connections[0].stream.is_unsent(c)]
+            )
             if len(queued) >= 2:
                 break
         assert len(queued) >= 2
-        bus.tell(news(2, target("d1", desk.address, 1, "terminating")))
+        bus.tell(news(2, target("d1", server.address, 1, "terminating")))
         for call in queued:
             assert caller.answer(call).status == 503
         started = [c for c in calls if run.core.find(c) is not None]
-        for call in started:  # what was begun is finished, and nothing follows it
+        for call in started:  # partly written set-ups are completed, and no other follows
             set_up(peer, call)
             tell(peer, binary.ANSWER, call)
         tell(peer, binary.PROBE, C)
@@ -312,98 +315,99 @@
         assert following.message_type == binary.PROBE_RESULT and following.call_id == int(C, 16)
 
 
-def test_a_cancelled_set_up_behind_a_stalled_peer_never_leaves() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
+def test_a_cancelled_set_up_that_is_queued_is_not_sent() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
         caller = Caller(run.port)
         run.until(lambda: len(run.core.decision_module.in_service) == 1)
-        back: Any = run.core.backends["binary"]
-        link = back.pools[1].connections[0]
-        run.until(lambda: link.stream is not None and not link.stream.connecting)
-        link.stream.connecting = True  # as if the connection were still coming up
+        backend: Any = run.core.backends["binary"]
+        connection = backend.pools[1].connections[0]
+        run.until(lambda: connection.stream is not None and not connection.stream.connecting)
+        connection.stream.connecting = True  # as if the connection were still coming up
         caller.invite(A)
-        run.until(lambda: run.core.find(A) is not None and link.stream.is_unsent(A))
+        run.until(lambda: run.core.find(A) is not None and connection.stream.is_unsent(A))
         caller.send("CANCEL", A)
         assert caller.answer(A).status == 487
-        assert not link.stream.is_unsent(A)
-        link.stream.connecting = False
-        peer = desk.desk()
+        assert not connection.stream.is_unsent(A)
+        connection.stream.connecting = False
+        peer = server.desk()
         caller.invite(B)
-        assert peer.take().call_id == int(B, 16)  # nothing of A was written before it
+        assert peer.take().call_id == int(B, 16)  # no byte of A was written before it
 
 
-def test_an_exchange_that_is_gone_cuts_what_stood_and_its_address_may_be_taken_over() -> None:
-    desk, bus = Listening(), BusStand()
-    with running(target("d1", desk.address, 1), bus=bus.port.address) as run:
+def test_a_terminated_endpoint_cuts_its_calls_and_its_address_may_be_reused() -> None:
+    server, bus = Listening(), BusStand()
+    with running(target("d1", server.address, 1), bus=bus.port.address) as run:
         bus.accept()
-        peer, caller = desk.desk(), Caller(run.port)
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A)
         set_up(peer, A)
         tell(peer, binary.ANSWER, A)
         caller.answer(A)
-        fresh = target("d2", desk.address, 1, boot_ms=int(time.time() * 1000) - 60_000)
-        bus.tell(news(2, target("d1", desk.address, 1, "terminated"), fresh))
+        fresh = target("d2", server.address, 1, boot_ms=int(time.time() * 1000) - 60_000)
+        bus.tell(news(2, target("d1", server.address, 1, "terminated"), fresh))
         assert caller.bye(A).headers["reason"] == "Q.850;cause=41"
-        assert release(peer, A).cause == 41  # the successor may have taken it, before anybody said so
-        successor = desk.desk()
+        # The successor may have received the set-up, before the list told of the change.
+        assert release(peer, A).cause == 41
+        successor = server.desk()
         assert peer.closed()
         caller.invite(B)
         set_up(successor, B)
 
 
-def test_a_drained_connection_stays_until_its_calls_are_over_and_is_closed_then(
+def test_a_draining_connection_stays_open_until_its_calls_are_over(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(binary_pool, "RESTART_GRACE_NS", 0)  # no call of a process before this one
-    desk, bus = Listening(), BusStand()
-    with running(target("d1", desk.address, 1), bus=bus.port.address) as run:
+    monkeypatch.setattr(binary_pool, "RESTART_GRACE_NS", 0)  # no calls of a previous process
+    server, bus = Listening(), BusStand()
+    with running(target("d1", server.address, 1), bus=bus.port.address) as run:
         bus.accept()
-        peer, caller = desk.desk(), Caller(run.port)
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A)
         set_up(peer, A)
         tell(peer, binary.ANSWER, A)
         assert caller.answer(A).status == 200
-        bus.tell(news(2, target("d1", desk.address, 1, "terminating")))
+        bus.tell(news(2, target("d1", server.address, 1, "terminating")))
         run.until(lambda: run.core.registry.endpoints[1].entry.state == "terminating")
         caller.invite(B)
-        assert caller.answer(B).status == 503  # nothing new goes to it
+        assert caller.answer(B).status == 503  # no new set-ups while it drains
         tell(peer, binary.RELEASE, A, cause=16)
         assert caller.bye(A).call_id == A
         peer.take(lambda m: m.message_type == binary.RELEASE_ACK)
         assert peer.closed()
         peer.sock.close()
-        bus.tell(news(3, target("d1", desk.address, 1)))
+        bus.tell(news(3, target("d1", server.address, 1)))
         caller.invite(C)
-        set_up(desk.desk(), C)  # back in service, it is reached again
+        set_up(server.desk(), C)  # back in service, it gets set-ups again
 
 
-def test_after_a_restart_a_draining_server_can_still_tell_of_calls_of_before() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1, "terminating")) as run:
-        caller, peer = Caller(run.port), desk.desk()
+def test_after_a_restart_a_draining_server_can_release_calls_of_the_previous_process() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1, "terminating")) as run:
+        caller, peer = Caller(run.port), server.desk()
         tell(peer, binary.RELEASE, A, cause=16)
         assert caller.bye(A).call_id == A
         caller.invite(B)
-        assert caller.answer(B).status == 503  # and nothing new goes to it
+        assert caller.answer(B).status == 503  # and it gets no new set-ups
 
 
-def test_the_bus_is_followed_over_cuts_and_gaps() -> None:
-    desk, bus = Listening(), BusStand()
-    with running(target("d1", desk.address, 1), bus=bus.port.address) as run:
+def test_the_bus_is_read_again_after_a_cut_or_a_gap() -> None:
+    server, bus = Listening(), BusStand()
+    with running(target("d1", server.address, 1), bus=bus.port.address) as run:
         assert bus.accept() == 1
-        bus.tell(news(2, target("d1", desk.address, 1, "terminating")))
+        bus.tell(news(2, target("d1", server.address, 1, "terminating")))
         run.until(lambda: run.core.registry.endpoints[1].entry.state == "terminating")
         bus.cut()
         assert bus.accept() == 2
-        bus.tell(news(2, target("d1", desk.address, 1)))  # held already
-        bus.tell(news(5, target("d9", "127.0.0.1:1", 9)))  # a gap: asked for again, once
+        bus.tell(news(2, target("d1", server.address, 1)))  # a duplicate
+        bus.tell(news(5, target("d9", "127.0.0.1:1", 9)))  # a gap: the bus is read again, once
         assert bus.accept() == 2
-        bus.tell(news(5, target("d1", desk.address, 1)))
+        bus.tell(news(5, target("d1", server.address, 1)))
         run.until(lambda: run.core.registry.endpoints[1].entry.state == "in_service")
         assert list(run.core.registry.endpoints) == [1]
 
 
-def test_a_silent_bus_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_bus_is_read_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(bus_client, "SILENCE_TIMEOUT_NS", 100_000_000)
     bus = BusStand()
     with running(bus=bus.port.address):
@@ -411,10 +415,10 @@
         assert bus.accept() == 1
 
 
-def test_a_machine_that_vanished_fails_its_set_ups_after_the_connect_timeout() -> None:
-    vanished, fillers = socket.create_server(("127.0.0.1", 0), backlog=0), list[socket.socket]()
-    address = vanished.getsockname()
-    for _ in range(4):  # a full backlog answers no more than a machine that is gone
+def test_set_ups_for_an_unreachable_host_fail_after_the_connect_timeout() -> None:
+    unreachable, fillers = socket.create_server(("127.0.0.1", 0), backlog=0), list[socket.socket]()
+    address = unreachable.getsockname()
+    for _ in range(4):  # a full backlog does not answer, like a host that is down
         fillers.append(socket.socket())
         fillers[-1].setblocking(False)
         fillers[-1].connect_ex(address)
@@ -439,10 +443,10 @@
         (b"\x00\x01garbage\r\n\r\n", 0),
     ],
 )
-def test_what_is_malformed_is_answered_or_drops_its_connection_only(raw: bytes, status: int) -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, good, bad = desk.desk(), Caller(run.port), Caller(run.port)
+def test_a_malformed_message_is_answered_or_closes_only_its_connection(raw: bytes, status: int) -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, good, bad = server.desk(), Caller(run.port), Caller(run.port)
         bad.sock.sendall(raw.replace(b"%s", A.encode()))
         if status:
             answer = bad.take()
@@ -466,10 +470,10 @@
         (A, A[:-1]),
     ],
 )
-def test_a_set_up_that_makes_no_sense_is_refused_and_never_sent_on(changed: tuple[str, str]) -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, caller = desk.desk(), Caller(run.port)
+def test_an_invalid_set_up_is_rejected_and_not_forwarded(changed: tuple[str, str]) -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, caller = server.desk(), Caller(run.port)
         caller.invite(A, change=changed)
         assert caller.take().status == 400
         caller.invite(B, body=b"")
@@ -478,38 +482,38 @@
         assert peer.take().call_id == int(C, 16)
 
 
-def test_an_open_id_with_another_description_ends_in_one_answer_each() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, first, other = desk.desk(), Caller(run.port), Caller(run.port)
+def test_a_call_id_in_use_with_another_description_gets_one_response() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, first, other = server.desk(), Caller(run.port), Caller(run.port)
         for call in (A, B):
             first.invite(call)
             set_up(peer, call)
-        other.invite(A, body=b"another")  # from elsewhere: the open call is not touched
+        other.invite(A, body=b"another")  # on another connection: the pending call is unaffected
         assert other.answer(A).status == 400
-        first.invite(A)  # sent again as it was: one answer for both
-        first.invite(B, body=b"another")  # from its own caller: which is meant can't be told
+        first.invite(A)  # an unchanged retransmission: one response for both
+        first.invite(B, body=b"another")  # from its own caller: ambiguous, so the call ends
         assert first.answer(B).status == 400 and release(peer, B).cause == 16
         tell(peer, binary.ANSWER, A, session_description=ANSWER)
         tell(peer, binary.ANSWER, B, session_description=ANSWER)
         assert first.answer(A).body == ANSWER
-        other.invite(B)  # it is over
+        other.invite(B)  # B has ended
         assert other.answer(B).status == 503
         first.send("OPTIONS", C)
-        assert first.take().call_id == C  # no second answer came before it
+        assert first.take().call_id == C  # no second response was sent before it
         first.invite(C)
         set_up(peer, C)
         first.sock.sendall(b"INVITE sip:1@net SIP/2.0\r\nCall-ID: %s\r\nCSeq: 1 INVITE\r\n\r\n" % C.encode())
         assert first.answer(C).status == 400 and first.closed() and release(peer, C).cause == 16
 
 
-def test_who_says_nothing_or_half_a_message_is_closed_and_who_is_only_quiet_is_not(
+def test_silent_and_stalled_callers_are_closed_and_idle_ones_are_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(sip_frontend, "MESSAGE_TIMEOUT_NS", 600_000_000)
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, quiet, half = desk.desk(), Caller(run.port), Caller(run.port)
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, quiet, half = server.desk(), Caller(run.port), Caller(run.port)
         quiet.send("OPTIONS", B)
         assert quiet.take().status == 200
         half.invite(A)
@@ -522,7 +526,7 @@
         set_up(peer, C)
 
 
-def test_the_last_word_reaches_a_caller_that_goes_on_sending() -> None:
+def test_a_final_response_reaches_a_caller_that_goes_on_sending() -> None:
     with running() as run:
         caller = Caller(run.port)
         body = bytes(8_000_000)
@@ -533,34 +537,34 @@
         assert caller.answer(A).status == 413
         caller.sock.sendall(body)
         caller.sock.shutdown(socket.SHUT_WR)
-        assert caller.sock.recv(100) == b""  # an end in good order, no reset
+        assert caller.sock.recv(100) == b""  # an orderly close, no reset
         run.until(lambda: not run.program.loop.closing_streams)
 
 
-def test_an_unreadable_desk_message_drops_that_connection_only() -> None:
-    ports = [Listening(), Listening()]
-    with running(target("d1", ports[0].address, 1), target("d2", ports[1].address, 2)) as run:
-        bad, good, caller = ports[0].desk(), ports[1].desk(), Caller(run.port)
+def test_an_unreadable_message_from_a_server_closes_only_its_connection() -> None:
+    servers = [Listening(), Listening()]
+    with running(target("d1", servers[0].address, 1), target("d2", servers[1].address, 2)) as run:
+        bad, good, caller = servers[0].desk(), servers[1].desk(), Caller(run.port)
         bad.sock.sendall(b"\x00\x01x")
         assert bad.closed()
-        ports[0].desk()  # it comes back
+        servers[0].desk()  # it is opened again
         caller.invite(A, dest=2)
         set_up(good, A)
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [
-        b"\x0f\xff\x09" + bytes(8) + b"\x00",  # a length that never comes
+        b"\x0f\xff\x09" + bytes(8) + b"\x00",  # a length that is never reached
         b"\xff\xff\x09" + bytes(8),
-        b"\x00\x09\x63" + bytes(8),  # no kind of message
-        b"\x00\x09\x09" + bytes.fromhex(A),  # an answer without its description
+        b"\x00\x09\x63" + bytes(8),  # an unknown message type
+        b"\x00\x09\x09" + bytes.fromhex(A),  # an answer without a session description
     ],
 )
-def test_a_spoilt_answer_costs_its_own_connection_and_no_other_call(spoilt: bytes) -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1), per_desk=2) as run:
-        peers, caller = [desk.desk(), desk.desk()], Caller(run.port)
+def test_an_unreadable_answer_affects_only_its_connection_and_its_call(invalid: bytes) -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1), per_desk=2) as run:
+        peers, caller = [server.desk(), server.desk()], Caller(run.port)
         run.until(lambda: run.core.decision_module.trunk_groups[1].size > 0)
         caller.invite(A)
         caller.invite(B)
@@ -568,25 +572,25 @@
             m.call_id: peer for peer in peers for m in [peer.take(lambda m: m.message_type == binary.SET_UP)]
         }
         one, other = found[int(A, 16)], found[int(B, 16)]
-        one.sock.sendall(spoilt)
-        tell(one, binary.ANSWER, A)  # swallowed, or not to be trusted
-        assert release(other, A).cause == 16  # what may have run there is let go of
+        one.sock.sendall(invalid)
+        tell(one, binary.ANSWER, A)  # consumed as part of the invalid message, or discarded
+        assert release(other, A).cause == 16  # the server may have accepted the set-up
         assert one.closed()
-        tell(other, binary.ANSWER, "00000000000000ee")  # nobody's, ahead of a good one
+        tell(other, binary.ANSWER, "00000000000000ee")  # for an unknown call, before a valid one
         tell(other, binary.ANSWER, B, session_description=ANSWER)
         tell(other, binary.ANSWER, B, session_description=b"a second copy")
         assert caller.answer(B).body == ANSWER
-        fresh = desk.desk()
-        set_up(fresh, A)  # the processor is not blamed: the same route again, after the pause
+        fresh = server.desk()
+        set_up(fresh, A)  # no failure of the processor: the same route again, after the release time
         tell(fresh, binary.ANSWER, A, session_description=ANSWER)
         assert caller.answer(A).body == ANSWER
         assert run.core.decision_module.endpoints[1].failures.total == 0.0
 
 
-def test_a_flood_of_connections_closes_the_idle_and_keeps_the_busy() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1), sockets=80 + 8) as run:
-        peer, busy = desk.desk(), Caller(run.port)
+def test_a_flood_of_connections_evicts_idle_ones_and_keeps_busy_ones() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1), sockets=80 + 8) as run:
+        peer, busy = server.desk(), Caller(run.port)
         busy.invite(A)
         set_up(peer, A)
         quiet = Caller(run.port)
@@ -594,7 +598,7 @@
         assert quiet.take().status == 200
         idle = [Caller(run.port) for _ in range(20)]
         assert idle[0].closed()
-        quiet.send("OPTIONS", A)  # those who never spoke go before it
+        quiet.send("OPTIONS", A)  # connections without a request are evicted before it
         assert quiet.take().status == 200
         last = Caller(run.port)
         last.send("OPTIONS", B)
@@ -604,12 +608,12 @@
         assert len(run.program.front.callers) <= 8
 
 
-def test_a_full_table_closes_no_caller_that_has_just_come_or_whose_input_is_unread() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1), sockets=80 + 8) as run:
-        peer, front = desk.desk(), run.program.front
+def test_at_the_limit_new_connections_and_those_with_unread_input_are_not_evicted() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1), sockets=80 + 8) as run:
+        peer, front = server.desk(), run.program.front
         holders = [Caller(run.port) for _ in range(8)]
-        for holder in holders:  # they asked once, long ago, and hold their connections for good
+        for holder in holders:  # each sent one request long ago and keeps its connection
             holder.send("OPTIONS", B)
             assert holder.take().status == 200
 
@@ -618,7 +622,7 @@
                 caller.idle_since -= 2 * sip_frontend.EVICTABLE_IDLE_NS
 
         run.look(age)
-        fresh = [Caller(run.port) for _ in range(6)]  # nothing said yet
+        fresh = [Caller(run.port) for _ in range(6)]  # no request yet
         run.until(lambda: sum(c.has_sent_request for c in front.callers) == 2)
         for n, caller in enumerate(fresh):
             caller.invite(f"{n:016x}")
@@ -626,43 +630,43 @@
         assert holders[0].closed()
 
         def close_one() -> tuple[bool, bool]:
-            """Between two turns: a set-up of the last holder but one has come and is not read yet."""
+            """Between two loop iterations: a set-up on the last connection but one has arrived unread."""
             holders[-2].invite(A)
-            stays = next(c for c in front.callers if not c.pending_calls)
-            wait_until(lambda: stays.stream.has_unread_input)
-            return front._evict_idle(), stays.stream.open
+            kept = next(c for c in front.callers if not c.pending_calls)
+            wait_until(lambda: kept.stream.has_unread_input)
+            return front._evict_idle(), kept.stream.open
 
         assert run.look(close_one) == (True, True)
         set_up(peer, A)
         assert holders[-1].closed()
 
 
-def test_a_release_goes_to_a_caller_and_not_to_who_only_holds_a_connection() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, holder = desk.desk(), Caller(run.port)
+def test_a_release_goes_to_an_active_caller_and_not_to_an_idle_connection() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, holder = server.desk(), Caller(run.port)
         holder.send("OPTIONS", B)
         assert holder.take().status == 200
         silent = Caller(run.port)
-        tell(peer, binary.RELEASE, A, cause=16)  # of a call that stood before a restart
-        assert holder.bye(A).call_id == A  # the best there is, after a while
+        tell(peer, binary.RELEASE, A, cause=16)  # of a call that was established before a restart
+        assert holder.bye(A).call_id == A  # the best connection there is, after a delay
         caller = Caller(run.port)
         caller.invite(C)
         set_up(peer, C)
         tell(peer, binary.ANSWER, C)
-        assert caller.bye(A).call_id == A  # and again where a call was answered
+        assert caller.bye(A).call_id == A  # and again on a connection on which a call was answered
         latest = Caller(run.port)
         tell(peer, binary.RELEASE, B, cause=16)
-        assert caller.bye(B).call_id == B  # at once
+        assert caller.bye(B).call_id == B  # without delay
         for other in (silent, latest):
             other.send("OPTIONS", C)
-            assert other.take().status == 200  # no release came before it
+            assert other.take().status == 200  # no release was sent before it
 
 
-def test_running_out_of_descriptors_stops_no_call() -> None:
-    desk = Listening()
-    with running(target("d1", desk.address, 1)) as run:
-        peer, busy = desk.desk(), Caller(run.port)
+def test_running_out_of_descriptors_affects_no_call() -> None:
+    server = Listening()
+    with running(target("d1", server.address, 1)) as run:
+        peer, busy = server.desk(), Caller(run.port)
         busy.invite(A)
         set_up(peer, A)
         fresh, fillers = socket.socket(), list[int]()
@@ -688,12 +692,12 @@
 
 
 class Spawned:
-    """The program as a process of its own, started with a configuration file."""
+    """The controller as a separate process, started with a configuration file."""
 
-    def __init__(self, folder: Path, desk: Listening, bus: str = "127.0.0.1:9") -> None:
+    def __init__(self, folder: Path, server: Listening, bus: str = "127.0.0.1:9") -> None:
         port = Listening()
         self.port, self.path = port.port, folder / "config.json"
-        known = {"offset": 1, "batch": [news(1, target("d1", desk.address, 1), whole=True)]}
+        known = {"offset": 1, "batch": [news(1, target("d1", server.address, 1), whole=True)]}
         self.config: dict[str, Any] = {
             "name": "n0",
             "seed": "ff",
@@ -728,43 +732,43 @@
         self.process.wait()
 
 
-def test_sigterm_finishes_what_was_taken_and_a_restart_remembers_nothing(tmp_path: Path) -> None:
-    desk = Listening()
-    spawned = Spawned(tmp_path, desk)
+def test_sigterm_finishes_pending_requests_and_a_restart_keeps_no_state(tmp_path: Path) -> None:
+    server = Listening()
+    spawned = Spawned(tmp_path, server)
     try:
-        first, peer = spawned.caller(), desk.desk()
+        first, peer = spawned.caller(), server.desk()
         first.invite(A)
         set_up(peer, A)
         spawned.process.send_signal(signal.SIGTERM)
-        second = spawned.caller()  # new connections and requests are still taken
+        second = spawned.caller()  # new connections and requests are still accepted
         second.invite(B)
         set_up(peer, B)
         tell(peer, binary.ANSWER, A)
         tell(peer, binary.ANSWER, B)
         assert first.answer(A).status == second.answer(B).status == 200
         assert spawned.process.wait(20) == 0
-        desk.forget_waiting()
+        server.forget_waiting()
         spawned.start()
-        again, peer = spawned.caller(), desk.desk()
+        again, peer = spawned.caller(), server.desk()
         again.send("BYE", A)
         assert again.answer(A, "BYE").status == 481
-        tell(peer, binary.RELEASE, B, cause=16)  # of a call that stood before the restart
+        tell(peer, binary.RELEASE, B, cause=16)  # of a call that was established before the restart
         assert again.bye(B).call_id == B
     finally:
         spawned.kill()
 
 
-def test_sighup_moves_to_the_new_bus_with_the_last_number_and_touches_no_call(tmp_path: Path) -> None:
-    desk, old, new = Listening(), BusStand(), BusStand()
-    spawned = Spawned(tmp_path, desk, old.port.address)
+def test_sighup_changes_the_bus_address_keeps_the_offset_and_affects_no_call(tmp_path: Path) -> None:
+    server, old, new = Listening(), BusStand(), BusStand()
+    spawned = Spawned(tmp_path, server, old.port.address)
     try:
         assert old.accept() == 1
-        caller, peer = spawned.caller(), desk.desk()
+        caller, peer = spawned.caller(), server.desk()
         caller.invite(A)
         set_up(peer, A)
-        old.tell(news(2, target("d1", desk.address, 1, "terminating")))
-        old.tell(news(3, target("d1", desk.address, 1)))
-        spawned.path.write_text('{"bus": 7')  # not good: it is logged, and nothing changes
+        old.tell(news(2, target("d1", server.address, 1, "terminating")))
+        old.tell(news(3, target("d1", server.address, 1)))
+        spawned.path.write_text('{"bus": 7')  # invalid: it is logged, and nothing changes
         spawned.process.send_signal(signal.SIGHUP)
         caller.invite(B)
         set_up(peer, B)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The parsers and encoders: tables of cases, each fed whole and byte by byte."""
+"""Parsers and encoders: tables of cases, each fed as a whole and byte by byte."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 from arrowrail.wire.sip.frontend import parse_invite
 
 
-def both_ways(make: Callable[[], Callable[[bytes], Any]], data: bytes) -> list[Any]:
-    """All that a parser finds, which must not depend on how the bytes were split."""
+def parse_both_ways(make: Callable[[], Callable[[bytes], Any]], data: bytes) -> list[Any]:
+    """Parses the data as a whole and byte by byte, and returns the messages, which must be the same."""
     whole = list(make()(data))
     feed, split = make(), []
     for at in range(len(data)):
@@ -49,7 +49,7 @@
         b"CSeq: 1 INVITE\r\nSubject: voice\r\n more\r\nl: 4\r\n\r\nbody"
         b"SIP/2.0 200 OK\r\nCall-ID: 9b1f\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n"
     )
-    first, second = both_ways(lambda: sip.SipParser().feed, data)
+    first, second = parse_both_ways(lambda: sip.SipParser().feed, data)
     assert (first.method, first.uri, first.call_id, first.body) == ("INVITE", "sip:7f@net", "9b1f", b"body")
     assert first.vias == ["SIP/2.0/TCP a", "SIP/2.0/TCP b"] and first.headers["subject"] == "voice more"
     assert (second.status, second.cseq_method) == (200, "BYE")
@@ -68,7 +68,7 @@
     ],
 )
 def test_sip_malformed(head: bytes, status: int, fatal: bool) -> None:
-    (found,) = both_ways(lambda: sip.SipParser().feed, head + b"\r\n")
+    (found,) = parse_both_ways(lambda: sip.SipParser().feed, head + b"\r\n")
     assert isinstance(found, sip.Malformed) and (found.status, found.fatal) == (status, fatal)
 
 
@@ -123,19 +123,19 @@
 )
 def test_binary_round_trip(message: BinaryMessage) -> None:
     data = binary.encode(message)
-    assert both_ways(lambda: binary.BinaryParser().feed, data * 2) == [message, message]
+    assert parse_both_ways(lambda: binary.BinaryParser().feed, data * 2) == [message, message]
     assert int.from_bytes(data[:2], "big") == len(data) - 2
 
 
 @pytest.mark.parametrize(
     "raw",
     [
-        "0008 0c 00000000000000",  # shorter than a head
-        "4001 0c",  # over the limit
-        "0009 0c 0000000000000001",  # a release without its cause
-        "000b 09 0000000000000001 ae00",  # half a parameter
-        "000d 09 0000000000000001 ae0005 41",  # runs past the end
-        "000d 01 0000000000000001 840001 41",  # a wait that is no number
+        "0008 0c 00000000000000",  # shorter than a header
+        "4001 0c",  # over the size limit
+        "0009 0c 0000000000000001",  # a release without a cause
+        "000b 09 0000000000000001 ae00",  # a truncated parameter header
+        "000d 09 0000000000000001 ae0005 41",  # a parameter beyond the end of the message
+        "000d 01 0000000000000001 840001 41",  # a timeout that is not a number
     ],
 )
 def test_binary_malformed(raw: str) -> None:
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cause", "reason", "wait", "outcome", "number", "stood"),
+    ("cause", "reason", "retry_after_ms", "before_answer", "expected_cause", "after_answer"),
     [
         (34, "group_full", 0, "turned_away", 1, "served"),
         (34, "tandem_refused", 0, "turned_away", 2, "served"),
@@ -157,9 +157,17 @@
         (16, "", 0, "server_error", 0, "served"),
     ],
 )
-def test_binary_releases(cause: int, reason: str, wait: int, outcome: str, number: int, stood: str) -> None:
-    ended = release_outcome(BinaryMessage(binary.RELEASE, 1, cause=cause, reason=reason, retry_after_ms=wait))
-    assert (ended.before_answer, ended.cause, ended.after_answer) == (outcome, number, stood)
+def test_binary_releases(
+    cause: int, reason: str, retry_after_ms: int, before_answer: str, expected_cause: int, after_answer: str
+) -> None:
+    outcome = release_outcome(
+        BinaryMessage(binary.RELEASE, 1, cause=cause, reason=reason, retry_after_ms=retry_after_ms)
+    )
+    assert (outcome.before_answer, outcome.cause, outcome.after_answer) == (
+        before_answer,
+        expected_cause,
+        after_answer,
+    )
 
 
 EVENT = (
@@ -178,7 +186,7 @@
     ],
 )
 def test_bus_stream(answer: bytes) -> None:
-    (event,) = both_ways(lambda: bus.StreamParser().feed, answer)
+    (event,) = parse_both_ways(lambda: bus.StreamParser().feed, answer)
     assert event == bus.BusEvent(4, True, (TOLD,))
 
 
@@ -210,7 +218,7 @@
     data = m3ua.encode(Message(MessageType.BEAT, {ParameterTag.HEARTBEAT: b"12345"}))
     assert data.hex() == "0100030300000014" + "00090009" + "3132333435000000"
     full = data + m3ua.encode_data(LABEL, 100, 7)
-    beat, carried = both_ways(lambda: m3ua.M3uaParser().feed, full)
+    beat, carried = parse_both_ways(lambda: m3ua.M3uaParser().feed, full)
     assert beat.parameters == {ParameterTag.HEARTBEAT: b"12345"}
     assert (
         carried.uint32(ParameterTag.ROUTING_CONTEXT),
@@ -328,7 +336,7 @@
     events = [{"kv": kv("/d/u", ENTRY)}, {"type": "DELETE", "kv": {"key": kv("/d/w", 0)["key"]}}]
     line = orjson.dumps({"result": {"header": {"revision": "9"}, "events": events}}) + b"\n"
     created = orjson.dumps({"result": {"header": {"revision": "7"}, "created": True}}) + b"\n"
-    found = both_ways(lambda: etcd.WatchParser("/d/").feed, created + line)
+    found = parse_both_ways(lambda: etcd.WatchParser("/d/").feed, created + line)
     assert found[0] == etcd.ListUpdate(7, ())
     assert found[1].entries == (TOLD, EndpointEntry("w", "", "", -1, "terminated", 0))
 
