--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -190,13 +190,13 @@
         other.send("BYE", "00000000000000ff")
         assert other.answer("00000000000000ff", "BYE").status == 481
         first.sock.close()
-        run.until(lambda: len(run.program.front.callers) == 1)
+        run.until(lambda: len(run.controller.frontend.callers) == 1)
         tell(peer, binary.RELEASE, B, cause=41)
         assert other.bye(B).headers["reason"] == "Q.850;cause=41"
         other.sock.close()
-        run.until(lambda: not len(run.program.front.callers))
+        run.until(lambda: not len(run.controller.frontend.callers))
         tell(peer, binary.RELEASE, C, cause=16)
-        run.until(lambda: run.program.front.releases.pending)
+        run.until(lambda: run.controller.frontend.releases.pending)
         third = Caller(run.port)
         assert third.bye(C).call_id == C  # on the next connection
         third.sock.close()  # without an acknowledgement: the release may have crossed the close
@@ -538,7 +538,7 @@
         caller.sock.sendall(body)
         caller.sock.shutdown(socket.SHUT_WR)
         assert caller.sock.recv(100) == b""  # an orderly close, no reset
-        run.until(lambda: not run.program.loop.closing_streams)
+        run.until(lambda: not run.controller.loop.closing_streams)
 
 
 def test_an_unreadable_message_from_a_server_closes_only_its_connection() -> None:
@@ -605,13 +605,13 @@
         assert last.take().status == 200
         tell(peer, binary.ANSWER, A)
         assert busy.answer(A).status == 200
-        assert len(run.program.front.callers) <= 8
+        assert len(run.controller.frontend.callers) <= 8
 
 
 def test_at_the_limit_new_connections_and_those_with_unread_input_are_not_evicted() -> None:
     server = Listening()
     with running(target("d1", server.address, 1), sockets=80 + 8) as run:
-        peer, front = server.desk(), run.program.front
+        peer, front = server.desk(), run.controller.frontend
         holders = [Caller(run.port) for _ in range(8)]
         for holder in holders:  # each sent one request long ago and keeps its connection
             holder.send("OPTIONS", B)
@@ -677,7 +677,7 @@
                 while True:
                     fillers.append(os.dup(0))
             fresh.connect(("127.0.0.1", run.port))  # waits in the backlog
-            run.until(lambda: run.program.front.listener._paused)  # type: ignore[union-attr]
+            run.until(lambda: run.controller.frontend.listener._paused)  # type: ignore[union-attr]
             tell(peer, binary.ANSWER, A)
             assert busy.answer(A).status == 200
         finally:
