--- a/arrowrail/group/runtime.py
+++ b/arrowrail/group/runtime.py
@@ -100,7 +100,7 @@
         for run in effects.runs:
             self.scheduler.submit(
                 JobSpec(f"{run.duty}#{run.number}", partial(self._probe_slices, run), priority=NORMAL,
-                     deadline_ns=self.config.probe_period_ns), self.loop.now)  # fmt: skip
+                        deadline_ns=self.config.probe_period_ns), self.loop.now)  # fmt: skip
         has_lease_messages = any(
             isinstance(message, AcquireRequest | Reply | Batch) for _, _, message in effects.messages
         )
--- a/arrowrail/membership/swim.py
+++ b/arrowrail/membership/swim.py
@@ -326,7 +326,7 @@
         for helper in self.random.sample(candidates, min(self.settings.indirect_probes, len(candidates))):
             if target is not None:
                 message = PingRequest(probe.sequence, self.name, self.address, probe.target,
-                                  target.rumour.address, self._select_rumours(helper))  # fmt: skip
+                                      target.rumour.address, self._select_rumours(helper))  # fmt: skip
                 outgoing.append((self.members[helper].rumour.address, message))
 
     def _end_probe(self, now: int) -> None:
--- a/arrowrail/scheduling/scheduler.py
+++ b/arrowrail/scheduling/scheduler.py
@@ -45,7 +45,7 @@
     priority: int = NORMAL
     max_jitter_ppm: int = 100_000  # random delay of each run, as a share of the period
     deadline_ns: int = 0  # a run that takes longer is ended; 0: none
-    max_slices_per_1000_s: int = 0  # 0: limited by the budgets only
+    max_slices_per_1000_s: int = 0  # slices in 1,000 s; 0: limited by the budgets only
 
 
 @dataclass(slots=True)
