--- a/arrowrail/wire/__init__.py
+++ b/arrowrail/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the wire: pure parsers and encoders, and the thin fronts and backs that own sockets."""
+"""Wire protocols: parsers and encoders without I/O, and the frontends and backends that own the sockets."""
--- a/arrowrail/wire/bus/__init__.py
+++ b/arrowrail/wire/bus/__init__.py
@@ -1,1 +1,1 @@
-"""The event bus: its messages and the client that follows it."""
+"""The event bus: its messages and the client that reads its stream."""
--- a/arrowrail/wire/bus/client.py
+++ b/arrowrail/wire/bus/client.py
@@ -1,4 +1,4 @@
-"""Follows the event bus: one connection that reads its stream, and comes back when it ends."""
+"""Client of the event bus: keeps one connection that reads the event stream, and reconnects when it ends."""
 
 from __future__ import annotations
 
@@ -12,44 +12,45 @@
 from arrowrail.state.timers import Timer
 from arrowrail.telemetry.events import disconnect_reason
 from arrowrail.telemetry.events import event as log_event
-from arrowrail.wire.bus.messages import BusError, BusEvent, StreamParser, get
+from arrowrail.wire.bus.messages import BusError, BusEvent, StreamParser, stream_request
 from arrowrail.wire.stream import Stream, connect
 
-# News counts as told 2 s after a break, 4 s after the stream stops: both hold with several tries to spare.
+# The controller is expected to know an update 2 s after the connection breaks, or 4 s after the stream falls
+# silent. Both limits leave time for several attempts at these values.
 MIN_BACKOFF_NS, MAX_BACKOFF_NS = 50 * MS, 250 * MS
-SILENCE_TIMEOUT_NS = 2_500 * MS  # a comment comes each second: after two missed ones the stream is dead
-CONNECT_NS = 1_000 * MS
+SILENCE_TIMEOUT_NS = 2_500 * MS  # the bus sends a comment each second: two missed ones mean a dead stream
+CONNECT_TIMEOUT_NS = 1_000 * MS
 SOURCE = "bus"
 
 
 class BusClient:
     def __init__(self, loop: Loop, core: Core, address: str) -> None:
         self.loop, self.core, self.address = loop, core, address
-        self.last = 0
-        self.pause_ns = MIN_BACKOFF_NS
+        self.last_offset = 0
+        self.backoff_ns = MIN_BACKOFF_NS
         self.stream: Stream | None = None
         self.parser = StreamParser()
-        self.silence: Timer | None = None
-        self.again: Timer | None = None
-        self.asked_again_for = -1  # the gap that was asked for once already
-        self._following = False  # whether the log says that the stream is being read
+        self.silence_timer: Timer | None = None
+        self.reconnect_timer: Timer | None = None
+        self.gap_retried_after = -1  # the offset before the gap that has been requested again
+        self._streaming = False  # whether the last log event says that the stream is being read
 
     def start(self, known: list[BusEvent], offset: int) -> None:
-        """What the configuration holds comes first; the stream goes on from there."""
+        """Apply the events of the configuration, then read the stream from ``offset`` on."""
         for event in known:
-            self._take(event)
-        self.last = max(self.last, offset)
-        if self.address:  # absent where the list comes from elsewhere, or is fixed
+            self._apply(event)
+        self.last_offset = max(self.last_offset, offset)
+        if self.address:  # empty if the list comes from another source or is fixed
             self.open()
 
     def change_address(self, address: str) -> None:
-        """Go on reading at another address, from the last number held: the numbers continue there."""
+        """Continue at another address from the last offset read: the bus there uses the same offsets."""
         if address == self.address:
             return
-        self.address, self.pause_ns = address, MIN_BACKOFF_NS
-        for deadline in (self.silence, self.again):
-            if deadline is not None:
-                deadline.cancel()
+        self.address, self.backoff_ns = address, MIN_BACKOFF_NS
+        for timer in (self.silence_timer, self.reconnect_timer):
+            if timer is not None:
+                timer.cancel()
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.close()
@@ -60,73 +61,73 @@
         self.parser = StreamParser()
         try:
             self.stream = connect(self.loop, self, self.address)
-        except (OSError, ValueError) as why:  # no descriptor left, or no address
-            logger.warning("event bus: {}", why)
+        except (OSError, ValueError) as error:  # out of file descriptors, or an invalid address
+            logger.warning("event bus: {}", error)
             self._schedule_reconnect()
             return
-        self.stream.send(get(self.address, self.last))
-        self._heard(CONNECT_NS)
+        self.stream.send(stream_request(self.address, self.last_offset))
+        self._restart_silence_timer(CONNECT_TIMEOUT_NS)
 
     def connected(self) -> None:
-        self._heard()
+        self._restart_silence_timer()
 
     def received(self, data: bytes) -> None:
-        self._heard()
-        if not self._following:
-            self._following = True
-            log_event("discovery.connected", "event bus at {address} is read from event {last} on",
-                  address=self.address, last=self.last)  # fmt: skip
+        self._restart_silence_timer()
+        if not self._streaming:
+            self._streaming = True
+            log_event("discovery.connected", "reading the event bus at {address} from event {last}",
+                  address=self.address, last=self.last_offset)  # fmt: skip
         try:
             events = self.parser.feed(data)
-        except BusError as wrong:
-            logger.warning("event bus: {}", wrong)
-            self._cut(OSError(errno.EPROTO, str(wrong)))
+        except BusError as error:
+            logger.warning("event bus: {}", error)
+            self._disconnect(OSError(errno.EPROTO, str(error)))
             return
         for event in events:
-            if event.offset > self.last + 1 and self.asked_again_for != self.last:
-                # Guards against news lost in a gap: ask again from the last event held.  What is still
-                # missing then is not to be had, and the stream goes on behind it.
-                logger.warning("event bus: gap between {} and {}", self.last, event.offset)
-                self.asked_again_for = self.last
-                self._cut(None)
+            if event.offset > self.last_offset + 1 and self.gap_retried_after != self.last_offset:
+                # Reads again from the last event, so that no event is lost in a gap. Events that are missing
+                # the second time too are not available; the stream is then read on behind the gap.
+                logger.warning("event bus: gap between events {} and {}", self.last_offset, event.offset)
+                self.gap_retried_after = self.last_offset
+                self._disconnect(None)
                 return
-            self._take(event)
+            self._apply(event)
         if events:
-            self.pause_ns = MIN_BACKOFF_NS
+            self.backoff_ns = MIN_BACKOFF_NS
         if self.parser.complete:
-            self._cut(None)
+            self._disconnect(None)
 
-    def _take(self, event: BusEvent) -> None:
-        if event.offset <= self.last:
-            return  # held already
-        self.last = event.offset
+    def _apply(self, event: BusEvent) -> None:
+        if event.offset <= self.last_offset:
+            return  # applied already
+        self.last_offset = event.offset
         self.core.metrics.count("discovery.events")
         self.core.update_endpoints(SOURCE, event.snapshot, event.entries)
 
-    def _heard(self, next_within_ns: int = 0) -> None:
-        if self.silence is not None:
-            self.silence.cancel()
-        late = OSError(errno.ETIMEDOUT, "silent")
-        self.silence = self.loop.timers.schedule(
-            self.loop.now + (next_within_ns or SILENCE_TIMEOUT_NS), lambda: self._cut(late)
+    def _restart_silence_timer(self, timeout_ns: int = 0) -> None:
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
+        error = OSError(errno.ETIMEDOUT, "no data from the event bus")
+        self.silence_timer = self.loop.timers.schedule(
+            self.loop.now + (timeout_ns or SILENCE_TIMEOUT_NS), lambda: self._disconnect(error)
         )
 
-    def _cut(self, why: OSError | None) -> None:
+    def _disconnect(self, error: OSError | None) -> None:
         if self.stream is not None:
-            self.stream.fail(why)
+            self.stream.fail(error)
 
-    def lost(self, why: OSError | None) -> None:
+    def lost(self, error: OSError | None) -> None:
         self.stream = None
-        reason = disconnect_reason(why)
+        reason = disconnect_reason(error)
         self.core.metrics.count("discovery.lost", reason)
-        if self._following:
-            self._following = False
-            log_event("discovery.lost", "event bus at {address} is out of reach: {reason}", level="WARNING",
-                  address=self.address, reason=reason)  # fmt: skip
-        if self.silence is not None:
-            self.silence.cancel()
+        if self._streaming:
+            self._streaming = False
+            log_event("discovery.lost", "lost the connection to the event bus at {address}: {reason}",
+                  level="WARNING", address=self.address, reason=reason)  # fmt: skip
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
         self._schedule_reconnect()
 
     def _schedule_reconnect(self) -> None:
-        self.again = self.loop.timers.schedule(self.loop.now + self.pause_ns, self.open)
-        self.pause_ns = min(2 * self.pause_ns, MAX_BACKOFF_NS)
+        self.reconnect_timer = self.loop.timers.schedule(self.loop.now + self.backoff_ns, self.open)
+        self.backoff_ns = min(2 * self.backoff_ns, MAX_BACKOFF_NS)
--- a/arrowrail/wire/bus/messages.py
+++ b/arrowrail/wire/bus/messages.py
@@ -1,4 +1,4 @@
-"""The event bus: server-sent events over HTTP, and the list news that they carry."""
+"""Messages of the event bus: server-sent events over HTTP that carry updates of the exchange list."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 from arrowrail.state.endpoints import STATES, EndpointEntry
 from arrowrail.wire.http import HttpError, ResponseBodyParser
 
-MAX_EVENT_SIZE = 1024 * 1024  # a whole list of a large network is far below it
+MAX_EVENT_SIZE = 1024 * 1024  # the complete exchange list of a large network is far smaller
 
 
 class BusError(Exception):
-    """The stream, or an event on it, can't be read."""
+    """The stream or one of its events cannot be parsed."""
 
 
 @dataclass(frozen=True, slots=True)
 class BusEvent:
+    """An update of the exchange list; a snapshot lists every endpoint there is."""
+
     offset: int
     snapshot: bool
     entries: tuple[EndpointEntry, ...]
@@ -28,87 +30,89 @@
 
 @dataclass(slots=True)
 class SseParser:
-    """Fields of server-sent events from any split of the bytes; comments only show that it lives."""
+    """Extracts the data of server-sent events; comments, which only keep the stream alive, are skipped."""
 
-    _rest: bytearray = field(default_factory=bytearray)
-    _data: list[str] = field(default_factory=list)
-    _size: int = 0
+    _buffer: bytearray = field(default_factory=bytearray)
+    _data_lines: list[str] = field(default_factory=list)
+    _data_size: int = 0
 
     def feed(self, data: bytes) -> Iterator[str]:
-        self._rest += data
-        if len(self._rest) + self._size > MAX_EVENT_SIZE:
-            raise BusError("an event over the limit")
-        *lines, rest = self._rest.split(b"\n")
-        self._rest = bytearray(rest)
+        self._buffer += data
+        if len(self._buffer) + self._data_size > MAX_EVENT_SIZE:
+            raise BusError("event exceeds the size limit")
+        *lines, remainder = self._buffer.split(b"\n")
+        self._buffer = bytearray(remainder)
         for line in lines:
             text = line.rstrip(b"\r").decode("utf-8", "replace")
             if not text:
-                if self._data:
-                    yield "\n".join(self._data)
-                self._data, self._size = [], 0
+                if self._data_lines:
+                    yield "\n".join(self._data_lines)
+                self._data_lines, self._data_size = [], 0
             elif text.startswith("data:"):
-                self._data.append(text[5:].removeprefix(" "))
-                self._size += len(text)
+                self._data_lines.append(text[5:].removeprefix(" "))
+                self._data_size += len(text)
 
 
 class StreamParser:
-    """The HTTP answer of the bus, chunked or not, down to its events."""
+    """Parses the HTTP response of the event bus into events."""
 
     def __init__(self) -> None:
-        self._http = ResponseBodyParser()
-        self._sse = SseParser()
+        self._body_parser = ResponseBodyParser()
+        self._sse_parser = SseParser()
 
     @property
     def complete(self) -> bool:
-        return self._http.complete
+        return self._body_parser.complete
 
     def feed(self, data: bytes) -> list[BusEvent]:
         try:
-            return [parse_event(text) for text in self._sse.feed(self._http.feed(data))]
-        except HttpError as wrong:
-            raise BusError(str(wrong)) from wrong
+            return [parse_event(text) for text in self._sse_parser.feed(self._body_parser.feed(data))]
+        except HttpError as error:
+            raise BusError(str(error)) from error
 
 
-def get(host: str, last: int) -> bytes:
+def stream_request(host: str, last_offset: int) -> bytes:
     return (
         f"GET /bus/read HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
-        f"Cache-Control: no-cache\r\nLast-Event-ID: {last}\r\n\r\n"
+        f"Cache-Control: no-cache\r\nLast-Event-ID: {last_offset}\r\n\r\n"
     ).encode()
 
 
 def parse_event(text: str) -> BusEvent:
     try:
         return event_from_json(orjson.loads(text))
-    except orjson.JSONDecodeError as wrong:
-        raise BusError(f"an event that is no JSON: {wrong}") from wrong
+    except orjson.JSONDecodeError as error:
+        raise BusError(f"event is not valid JSON: {error}") from error
 
 
 def event_from_json(value: Any) -> BusEvent:
-    """One event, off the stream or from ``known``; other kinds than the list's count as empty news."""
+    """Decode an event of the stream or of ``known``; an event without a topology is an empty update."""
     try:
         topology = value.get("topology") or {}
         targets = topology.get("targets") or ()
         entries = tuple(entry for entry in map(_read_entry, targets) if entry is not None)
-        # What could not be read may still be there: a whole list with a hole ends nothing.
+        # An entry that cannot be decoded may still exist. A list with such an entry is not treated as a
+        # snapshot, so that no endpoint is terminated for being absent from it.
         snapshot = bool(topology.get("all")) and len(entries) == len(targets)
         return BusEvent(int(value["offset"]), snapshot, entries)
-    except (AttributeError, KeyError, TypeError, ValueError) as wrong:
-        raise BusError(f"an event that makes no sense: {wrong!r}") from wrong
+    except (AttributeError, KeyError, TypeError, ValueError) as error:
+        raise BusError(f"invalid event: {error!r}") from error
 
 
 def _read_entry(target: Any) -> EndpointEntry | None:
-    """Guards against one entry that makes no sense being asked for again for ever, and all behind it lost."""
+    """Skip an invalid entry: failing on it would request its event forever and lose all later events."""
     try:
         return entry_from_json(target)
-    except (AttributeError, KeyError, TypeError, ValueError) as wrong:
-        logger.warning("event bus: an entry that makes no sense: {!r}", wrong)
+    except (AttributeError, KeyError, TypeError, ValueError) as error:
+        logger.warning("event bus: skipping an invalid entry: {!r}", error)
         return None
 
 
 def entry_from_json(target: Any) -> EndpointEntry:
+    """Decode an endpoint; an invalid field raises one of the errors of ``_read_entry``."""
     state = str(target["state"])
     if state not in STATES:
-        raise ValueError(f"state {state!r}")
+        raise ValueError(f"unknown state {state!r}")
     return EndpointEntry(
         str(target["uid"]), str(target["endpoint"]), str(target.get("az", "")),
         int(target.get("pod_group", -1)), state, int(target.get("boot_ms") or 0) * 1_000_000,
--- a/arrowrail/wire/etcd/__init__.py
+++ b/arrowrail/wire/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""The exchange list in etcd: its messages and the client that follows it."""
+"""The exchange list in etcd: messages of the JSON gateway and the client that watches the list."""
--- a/arrowrail/wire/http.py
+++ b/arrowrail/wire/http.py
@@ -1,4 +1,4 @@
-"""One HTTP answer that goes on and on: its body as it comes, chunked or not."""
+"""Incremental reading of the body of one HTTP response, chunked or not."""
 
 from __future__ import annotations
 
@@ -6,28 +6,30 @@
 
 
 class HttpError(Exception):
-    """The answer is no HTTP, or not the one that was asked for."""
+    """The response is not valid HTTP, or its status is not 200."""
 
 
 class ResponseBodyParser:
     def __init__(self) -> None:
-        self._http = httptools.HttpResponseParser(self)
-        self._body: list[bytes] = []
+        self._parser = httptools.HttpResponseParser(self)
+        self._chunks: list[bytes] = []
         self.complete = False
 
     def on_body(self, body: bytes) -> None:
-        self._body.append(body)
+        self._chunks.append(body)
 
     def on_message_complete(self) -> None:
         self.complete = True
 
     def feed(self, data: bytes) -> bytes:
-        """What these bytes add to the body of an answer with status 200."""
+        """Return the part of the response body that ``data`` contains."""
         try:
-            self._http.feed_data(data)
-        except httptools.HttpParserError as wrong:
-            raise HttpError(str(wrong)) from wrong
-        body, self._body = b"".join(self._body), []
-        if body and self._http.get_status_code() != 200:
-            raise HttpError(f"status {self._http.get_status_code()}: {body[:200].decode('utf-8', 'replace')}")
+            self._parser.feed_data(data)
+        except httptools.HttpParserError as error:
+            raise HttpError(str(error)) from error
+        body, self._chunks = b"".join(self._chunks), []
+        if body and self._parser.get_status_code() != 200:
+            raise HttpError(
+                f"status {self._parser.get_status_code()}: {body[:200].decode('utf-8', 'replace')}"
+            )
         return body
--- a/arrowrail/wire/m3ua/__init__.py
+++ b/arrowrail/wire/m3ua/__init__.py
@@ -1,1 +1,1 @@
-"""M3UA-style signalling: M3UA and ISUP messages, one association, the front and the back."""
+"""M3UA-style signalling: M3UA and ISUP messages, the association, the frontend and the backend."""
