--- a/arrowrail/wire/m3ua/association.py
+++ b/arrowrail/wire/m3ua/association.py
@@ -1,4 +1,4 @@
-"""One M3UA association on a TCP connection, in either role: handshake, heartbeat, errors, DATA."""
+"""An M3UA association on a TCP connection, as ASP or as its peer: handshake, heartbeat, errors, DATA."""
 
 from __future__ import annotations
 
@@ -26,98 +26,102 @@
 from arrowrail.wire.stream import Stream
 
 DOWN, INACTIVE, ACTIVE = "down", "inactive", "active"
-HANDSHAKE_NS = 2_000 * MS  # T(ack) of RFC 4666: an answer to ASPUP or ASPAC that takes longer won't come
-MISSED_BEATS = 2
-BEAT_ANSWER_NS = 2_500 * MS  # an answer to a heartbeat that was sent out of turn takes no longer
-UNFINISHED_NS = 2_000 * MS  # a message has 16 KiB at most
-AFFECTED_POINT_CODE = 0x0012
+HANDSHAKE_TIMEOUT_NS = 2_000 * MS  # T(ack) of RFC 4666: wait for the acknowledgement of ASPUP or ASPAC
+MAX_MISSED_HEARTBEATS = 2
+CHECK_TIMEOUT_NS = 2_500 * MS  # the answer to an extra heartbeat takes no longer
+MESSAGE_TIMEOUT_NS = 2_000 * MS  # for the rest of a message, which has 16 KiB at most
+AFFECTED_POINT_CODE = 0x0012  # parameter tag, in DUNA
 
 
 @dataclass(frozen=True, slots=True)
 class M3uaSettings:
-    point_code: int  # our own
+    point_code: int  # this controller's own
     routing_context: int | None
     network_appearance: int | None
-    heartbeat_ns: int
+    heartbeat_interval_ns: int
 
 
-class User(Protocol):
-    def active(self, link: Association) -> None:
-        """Traffic may flow."""
+class AssociationHandler(Protocol):
+    """Receives the ISUP messages and the state changes of an association."""
 
-    def isup(self, link: Association, label: ProtocolData, message: IsupMessage) -> None: ...
-    def lost(self, link: Association, why: OSError | None) -> None: ...
+    def association_active(self, association: Association) -> None:
+        """The handshake is complete; DATA messages may be sent."""
+
+    def isup_received(self, association: Association, label: ProtocolData, message: IsupMessage) -> None: ...
+    def association_lost(self, association: Association, error: OSError | None) -> None: ...
 
 
 class Association:
-    def __init__(self, loop: Loop, settings: M3uaSettings, user: User, asks: bool) -> None:
-        self.loop, self.settings, self.user = loop, settings, user
-        self.asks = asks  # we are the side that connects and sends ASPUP
+    def __init__(self, loop: Loop, settings: M3uaSettings, handler: AssociationHandler, is_asp: bool) -> None:
+        self.loop, self.settings, self.handler = loop, settings, handler
+        self.is_asp = is_asp  # whether this side connects and sends ASPUP
         self.state = DOWN
         self.stream: Stream | None = None
-        self.handle = 0  # the front's slot
+        self.handle = 0  # slot in the frontend's table
         self._parser = m3ua.M3uaParser()
-        self._handshake: Timer | None = None
-        self._checking: Timer | None = None
-        self._beat: Timer | None = None
-        self._heard_at = loop.now
-        self.bad = RateLimitedWarning(loop)
-        self._unfinished = MessageTimeout(loop, UNFINISHED_NS, self._stalled)
+        self._handshake_timer: Timer | None = None
+        self._check_timer: Timer | None = None
+        self._heartbeat_timer: Timer | None = None
+        self._last_received_ns = loop.now
+        self.protocol_errors = RateLimitedWarning(loop)
+        self._message_timeout = MessageTimeout(loop, MESSAGE_TIMEOUT_NS, self._message_timed_out)
 
     # --- The connection ---------------------------------------------------------------------------------
 
     def connected(self) -> None:
-        self._heard_at = self.loop.now
-        self._beat = self.loop.timers.schedule(self.loop.now + self.settings.heartbeat_ns, self._heartbeat)
-        if self.asks:
-            self._ask(MessageType.ASPUP)
+        self._last_received_ns = self.loop.now
+        self._heartbeat_timer = self.loop.timers.schedule(
+            self.loop.now + self.settings.heartbeat_interval_ns, self._heartbeat_due
+        )
+        if self.is_asp:
+            self._send_request(MessageType.ASPUP)
         else:
-            self._unfinished.update(True, False)  # a peer that says nothing must not keep its place
+            self._message_timeout.update(True, False)  # a peer that sends nothing must not keep a connection
 
     def received(self, data: bytes) -> None:
-        self._heard_at = self.loop.now
+        self._last_received_ns = self.loop.now
         messages = self._parser.feed(data)
-        self._unfinished.update(self._parser.pending, bool(messages))
-        for found in messages:
+        self._message_timeout.update(self._parser.pending, bool(messages))
+        for message in messages:
             try:
-                if isinstance(found, M3uaError):
-                    raise found
-                self._message(found)
-            except M3uaError as wrong:
-                self.bad.record(f"M3UA: {wrong}")
-                self._send(m3ua.encode_error(wrong.code, str(wrong)))
-                if wrong.fatal and self.stream is not None:
+                if isinstance(message, M3uaError):
+                    raise message
+                self._handle_message(message)
+            except M3uaError as error:
+                self.protocol_errors.record(f"M3UA: {error}")
+                self._send(m3ua.encode_error(error.code, str(error)))
+                if error.fatal and self.stream is not None:
                     self.stream.close_gracefully()
-                    self.lost(OSError(errno.EPROTO, str(wrong)))
+                    self.lost(OSError(errno.EPROTO, str(error)))
                     return
             if self.stream is None or not self.stream.open:
                 return
 
-    def _stalled(self) -> None:
-        """Guards against half a message holding all that follows it, however its bytes trickle in."""
+    def _message_timed_out(self) -> None:
+        """Disconnect: an incomplete message would block all later ones, however slowly its bytes arrive."""
         if self.stream is not None:
-            self.stream.fail(OSError(errno.ETIMEDOUT, "stopped in the middle of a message"))
+            self.stream.fail(OSError(errno.ETIMEDOUT, "incomplete message"))
 
-    def lost(self, why: OSError | None) -> None:
+    def lost(self, error: OSError | None) -> None:
         self.state = DOWN
-        self._unfinished.cancel()
-        for deadline in (self._handshake, self._beat, self._checking):
-            if deadline is not None:
-                deadline.cancel()
-        self.user.lost(self, why)
+        self._message_timeout.cancel()
+        for timer in (self._handshake_timer, self._heartbeat_timer, self._check_timer):
+            if timer is not None:
+                timer.cancel()
+        self.handler.association_lost(self, error)
 
     def close(self) -> None:
-        """Say goodbye in good order, where there is somebody to hear it."""
+        """Close gracefully; an ASP that is up sends ASPDN first."""
         stream = self.stream
         if stream is not None:
-            if self.asks and self.state != DOWN:
+            if self.is_asp and self.state != DOWN:
                 self._send(m3ua.encode(Message(MessageType.ASPDN)))
             stream.close_gracefully()
         self.state = DOWN
-        self._unfinished.cancel()
-        for deadline in (self._handshake, self._beat, self._checking):
-            if deadline is not None:
-                deadline.cancel()
+        self._message_timeout.cancel()
+        for timer in (self._handshake_timer, self._heartbeat_timer, self._check_timer):
+            if timer is not None:
+                timer.cancel()
 
     def send_isup(self, dpc: int, message: IsupMessage, tag: object = None) -> None:
         label = ProtocolData(self.settings.point_code, dpc, isup.encode(message), sls=message.cic & 0xF)
@@ -130,59 +134,67 @@
             self.stream.send(data, tag)
 
     @property
-    def heard_ns(self) -> int:
-        """When the peer last said anything."""
-        return self._heard_at
+    def last_received_ns(self) -> int:
+        """When the last data came from the peer."""
+        return self._last_received_ns
 
-    def check(self) -> None:
-        """A heartbeat out of turn; a peer that leaves it unanswered is given up."""
-        if self._checking is not None or self.state == DOWN:
+    def check_peer(self) -> None:
+        """Send an extra heartbeat and disconnect if the peer sends nothing after it in time."""
+        if self._check_timer is not None or self.state == DOWN:
             return
-        self._beat_now()
-        sent = self.loop.now
-        self._checking = self.loop.timers.schedule(sent + BEAT_ANSWER_NS, lambda: self._checked(sent))
-
-    def _checked(self, sent_ns: int) -> None:
-        self._checking = None
-        if self._heard_at < sent_ns and self.stream is not None:
-            self.stream.fail(OSError(errno.ETIMEDOUT, "no answer to a heartbeat"))
-
-    def _beat_now(self) -> None:
-        beat = {int(ParameterTag.HEARTBEAT): self.loop.now.to_bytes(8, "big")}
-        self._send(m3ua.encode(Message(MessageType.BEAT, beat)))
-
-    def _heartbeat(self) -> None:
-        """Guards against a peer that vanished, or stalls in the middle of a message, being trusted on."""
-        quiet = self.loop.now - self._heard_at
-        if quiet > MISSED_BEATS * self.settings.heartbeat_ns:
+        self._send_heartbeat()
+        sent_ns = self.loop.now
+        self._check_timer = self.loop.timers.schedule(
+            sent_ns + CHECK_TIMEOUT_NS, lambda: self._check_timed_out(sent_ns)
+        )
+
+    def _check_timed_out(self, sent_ns: int) -> None:
+        self._check_timer = None
+        if self._last_received_ns < sent_ns and self.stream is not None:
+            self.stream.fail(OSError(errno.ETIMEDOUT, "no data after a heartbeat"))
+
+    def _send_heartbeat(self) -> None:
+        parameters = {int(ParameterTag.HEARTBEAT): self.loop.now.to_bytes(8, "big")}
+        self._send(m3ua.encode(Message(MessageType.BEAT, parameters)))
+
+    def _heartbeat_due(self) -> None:
+        """Disconnect if the peer has vanished or stalled, otherwise send the next heartbeat."""
+        silent_ns = self.loop.now - self._last_received_ns
+        if silent_ns > MAX_MISSED_HEARTBEATS * self.settings.heartbeat_interval_ns:
             if self.stream is not None:
-                self.stream.fail(OSError(errno.ETIMEDOUT, "no heartbeat"))
+                self.stream.fail(OSError(errno.ETIMEDOUT, "no data within the heartbeat time"))
             return
         if self.state != DOWN:
-            self._beat_now()
-        self._beat = self.loop.timers.schedule(self.loop.now + self.settings.heartbeat_ns, self._heartbeat)
+            self._send_heartbeat()
+        self._heartbeat_timer = self.loop.timers.schedule(
+            self.loop.now + self.settings.heartbeat_interval_ns, self._heartbeat_due
+        )
 
     # --- The handshake ----------------------------------------------------------------------------------
 
-    def _ask(self, message_type: MessageType) -> None:
+    def _send_request(self, message_type: MessageType) -> None:
         parameters = {}
         if message_type == MessageType.ASPAC:
             parameters[int(ParameterTag.TRAFFIC_MODE)] = m3ua.encode_uint32(m3ua.TRAFFIC_LOADSHARE)
-            parameters |= self._context()
+            parameters |= self._routing_context()
         self._send(m3ua.encode(Message(message_type, parameters)))
-        if self._handshake is not None:
-            self._handshake.cancel()
-        late = OSError(errno.ETIMEDOUT, f"no answer to {message_type.name}")
+        if self._handshake_timer is not None:
+            self._handshake_timer.cancel()
+        error = OSError(errno.ETIMEDOUT, f"no acknowledgement of {message_type.name}")
         stream = self.stream
-        self._handshake = self.loop.timers.schedule(
-            self.loop.now + HANDSHAKE_NS, lambda: stream.fail(late) if stream is not None else None
+        self._handshake_timer = self.loop.timers.schedule(
+            self.loop.now + HANDSHAKE_TIMEOUT_NS, lambda: stream.fail(error) if stream is not None else None
         )
 
-    def _context(self) -> dict[int, bytes]:
-        context = self.settings.routing_context
-        return {int(ParameterTag.ROUTING_CONTEXT): m3ua.encode_uint32(context)} if context is not None else {}
+    def _routing_context(self) -> dict[int, bytes]:
+        routing_context = self.settings.routing_context
+        return (
+            {int(ParameterTag.ROUTING_CONTEXT): m3ua.encode_uint32(routing_context)}
+            if routing_context is not None
+            else {}
+        )
 
-    def _check(self, message: Message) -> None:
+    def _check_addressing(self, message: Message) -> None:
         context, appearance = (
             message.uint32(ParameterTag.ROUTING_CONTEXT),
             message.uint32(ParameterTag.NETWORK_APPEARANCE),
@@ -194,33 +206,33 @@
 
     def _activate(self) -> None:
         self.state = ACTIVE
-        self.user.active(self)
+        self.handler.association_active(self)
 
-    def _message(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         message_type = message.message_type
         if message_type == MessageType.DATA:
-            self._data(message)
+            self._handle_data(message)
         elif message_type == MessageType.BEAT:
             self._send(m3ua.encode(Message(MessageType.BEAT_ACK, message.parameters)))
         elif message_type == MessageType.ERR:
             logger.warning("M3UA: peer reports error {}", message.uint32(ParameterTag.ERROR_CODE))
-        elif self.asks:
-            self._answered(message_type)
+        elif self.is_asp:
+            self._handle_ack(message_type)
         else:
-            self._asked(message_type, message)
+            self._handle_request(message_type, message)
 
-    def _answered(self, message_type: MessageType) -> None:
+    def _handle_ack(self, message_type: MessageType) -> None:
         if message_type == MessageType.ASPUP_ACK and self.state == DOWN:
             self.state = INACTIVE
-            self._ask(MessageType.ASPAC)
+            self._send_request(MessageType.ASPAC)
         elif message_type == MessageType.ASPAC_ACK and self.state == INACTIVE:
-            if self._handshake is not None:
-                self._handshake.cancel()
+            if self._handshake_timer is not None:
+                self._handshake_timer.cancel()
             self._activate()
         elif message_type in (MessageType.ASPIA_ACK, MessageType.ASPDN_ACK) and self.stream is not None:
-            self.stream.fail(OSError(errno.ECONNABORTED, "put out of service by the peer"))
+            self.stream.fail(OSError(errno.ECONNABORTED, "peer has taken the association out of service"))
 
-    def _asked(self, message_type: MessageType, message: Message) -> None:
+    def _handle_request(self, message_type: MessageType, message: Message) -> None:
         if message_type == MessageType.ASPUP:
             self.state = INACTIVE
             self._send(m3ua.encode(Message(MessageType.ASPUP_ACK)))
@@ -230,21 +242,21 @@
         elif message_type in (MessageType.ASPAC, MessageType.ASPIA):
             if self.state == DOWN:
                 raise M3uaError(ErrorCode.UNEXPECTED_MESSAGE, f"{message_type.name} before ASPUP", False)
-            self._check(message)
+            self._check_addressing(message)
             mode = message.uint32(ParameterTag.TRAFFIC_MODE)
             if mode not in (None, m3ua.TRAFFIC_OVERRIDE, m3ua.TRAFFIC_LOADSHARE):
                 raise M3uaError(ErrorCode.UNSUPPORTED_MODE, f"traffic mode {mode}", False)
             if message_type == MessageType.ASPIA:
                 self.state = INACTIVE
-                self._send(m3ua.encode(Message(MessageType.ASPIA_ACK, self._context())))
+                self._send(m3ua.encode(Message(MessageType.ASPIA_ACK, self._routing_context())))
             else:
-                self._send(m3ua.encode(Message(MessageType.ASPAC_ACK, self._context())))
+                self._send(m3ua.encode(Message(MessageType.ASPAC_ACK, self._routing_context())))
                 self._activate()
 
-    def _data(self, message: Message) -> None:
+    def _handle_data(self, message: Message) -> None:
         if self.state != ACTIVE:
             raise M3uaError(ErrorCode.UNEXPECTED_MESSAGE, f"DATA while {self.state}", False)
-        self._check(message)
+        self._check_addressing(message)
         label = m3ua.decode_data(message)
         if label.dpc != self.settings.point_code:
             affected = {AFFECTED_POINT_CODE: m3ua.encode_uint32(label.dpc)}
@@ -254,7 +266,7 @@
             raise M3uaError(ErrorCode.PROTOCOL_ERROR, f"service indicator {label.service_indicator}", False)
         try:
             decoded = isup.decode(label.user_data)
-        except IsupError as wrong:
-            raise M3uaError(ErrorCode.PROTOCOL_ERROR, f"ISUP: {wrong}", False) from wrong
+        except IsupError as error:
+            raise M3uaError(ErrorCode.PROTOCOL_ERROR, f"ISUP: {error}", False) from error
         if decoded is not None:
-            self.user.isup(self, label, decoded)
+            self.handler.isup_received(self, label, decoded)
--- a/arrowrail/wire/m3ua/frontend.py
+++ b/arrowrail/wire/m3ua/frontend.py
@@ -1,4 +1,4 @@
-"""The M3UA-style front: clients that signal ISUP calls by point codes and CIC."""
+"""Frontend for clients with M3UA-style signalling, whose ISUP calls are known by point code and CIC."""
 
 from __future__ import annotations
 
@@ -16,45 +16,51 @@
 from arrowrail.wire.listener import Listener
 from arrowrail.wire.m3ua import causes
 from arrowrail.wire.m3ua.association import ACTIVE, DOWN, Association, M3uaSettings
-from arrowrail.wire.m3ua.isup import UUI_MAX, IsupMessage, IsupMessageType
+from arrowrail.wire.m3ua.isup import MAX_UUI_LENGTH, IsupMessage, IsupMessageType
 from arrowrail.wire.m3ua.mappings import T1_NS, ClassMapping, PrefixMapping
 from arrowrail.wire.m3ua.messages import ProtocolData
 from arrowrail.wire.stream import Stream
 
-RELEASE_KEPT_NS = 8_000 * MS  # how long a release waits for an association to go out on
+RELEASE_RETENTION_NS = 8_000 * MS  # how long a release waits for an association that can send it
 MAX_CLIENTS = 64
-UNALLOCATED, NOT_IMPLEMENTED, INTERWORKING = 1, 79, 127  # Q.850 causes of set-ups that can't be read
-Key = tuple[int, int]  # the client's point code and the CIC; the other point code is our own
+# Q.850 causes: unallocated number; service not implemented; interworking, unspecified.
+Q850_UNALLOCATED, Q850_NOT_IMPLEMENTED, Q850_INTERWORKING = 1, 79, 127
+CircuitKey = tuple[int, int]  # point code of the client, CIC; the other point code is always our own
 
 
 @dataclass(slots=True)
 class Circuit:
-    """A call on a client's circuit.  ``clearing``: our release is out, and its RLC is awaited."""
+    """A call on a circuit of a client."""
 
-    call: str
-    key: Key
-    line: int
-    standing: bool = False
-    clearing: bool = False
-    t1: Timer | None = None
+    call_id: str
+    key: CircuitKey
+    association_handle: int
+    established: bool = False
+    clearing: bool = False  # a release was sent and its RLC is awaited
+    t1_timer: Timer | None = None
 
 
 class M3uaFrontend:
+    """Accepts the associations of clients and passes their calls to the core."""
+
     def __init__(
         self, loop: Loop, core: Core, address: str, settings: M3uaSettings,
-        classes: tuple[ClassMapping, ...], numbers: tuple[PrefixMapping, ...],
+        class_mappings: tuple[ClassMapping, ...], prefix_mappings: tuple[PrefixMapping, ...],
     ) -> None:  # fmt: skip
         self.loop, self.core, self.address, self.settings = loop, core, address, settings
-        self.update_mappings(classes, numbers)
+        self.update_mappings(class_mappings, prefix_mappings)
         self.associations: SlotTable[Association] = SlotTable()
-        self.circuits: dict[Key, Circuit] = {}
-        self.by_call: dict[str, Key] = {}
+        self.circuits: dict[CircuitKey, Circuit] = {}
+        self.key_by_call_id: dict[str, CircuitKey] = {}
         self.listener: Listener | None = None
 
-    def update_mappings(self, classes: tuple[ClassMapping, ...], numbers: tuple[PrefixMapping, ...]) -> None:
-        """From now on; a call that was offered keeps what it was offered as."""
-        self.classes = classes
-        self.numbers = sorted(numbers, key=lambda n: -len(n.prefix))  # the longest prefix wins
+    def update_mappings(
+        self, class_mappings: tuple[ClassMapping, ...], prefix_mappings: tuple[PrefixMapping, ...]
+    ) -> None:
+        """Use these mappings for new calls; existing calls keep theirs."""
+        self.class_mappings = class_mappings
+        # Longest prefix first, as the first match is used.
+        self.prefix_mappings = sorted(prefix_mappings, key=lambda mapping: -len(mapping.prefix))
 
     def start(self) -> None:
         self.core.frontends.append(self)
@@ -63,19 +69,22 @@
             self.address,
             self._accepted,
             lambda: len(self.associations) < MAX_CLIENTS,
-            self._close_idlest,
+            self._evict_inactive,
         )
 
-    def _close_idlest(self) -> bool:
-        """Guards against silent peers taking the places of clients: who never shook hands goes first."""
-        down = [
+    def _evict_inactive(self) -> bool:
+        """Close an association without a handshake, so that silent peers do not take the place of clients.
+
+        Returns whether there was one.
+        """
+        inactive = [
             association
             for association in self.associations
             if association.state == DOWN and association.stream is not None
         ]
-        if down and down[0].stream is not None:
-            down[0].stream.fail(None)
-        return bool(down)
+        if inactive and inactive[0].stream is not None:
+            inactive[0].stream.fail(None)
+        return bool(inactive)
 
     # --- Associations -----------------------------------------------------------------------------------
 
@@ -85,99 +94,116 @@
         association.stream = Stream(self.loop, sock, association)
         association.connected()
 
-    def active(self, association: Association) -> None:
-        """Releases that found no association go out now; calls that stand belong to none."""
+    def association_active(self, association: Association) -> None:
+        """Send the releases that found no active association; any association may carry them."""
         for circuit in list(self.circuits.values()):
-            home = self.associations.get(circuit.line)
-            if circuit.clearing and (home is None or home.state != ACTIVE):
-                circuit.line = association.handle
-                self._release(circuit, causes.NORMAL)
+            own_association = self.associations.get(circuit.association_handle)
+            if circuit.clearing and (own_association is None or own_association.state != ACTIVE):
+                circuit.association_handle = association.handle
+                self._send_release(circuit, causes.NORMAL_CLEARING)
 
-    def lost(self, association: Association, _why: OSError | None) -> None:
+    def association_lost(self, association: Association, _error: OSError | None) -> None:
         self.associations.remove(association.handle)
         for circuit in list(self.circuits.values()):
-            if circuit.line == association.handle and not circuit.standing and not circuit.clearing:
-                self.core.caller_abandoned(circuit.call)
+            if (
+                circuit.association_handle == association.handle
+                and not circuit.established
+                and not circuit.clearing
+            ):
+                self.core.caller_abandoned(circuit.call_id)
                 self._drop(circuit)
         if self.listener is not None:
             self.listener.resume()
 
     # --- From clients -----------------------------------------------------------------------------------
 
-    def isup(self, association: Association, label: ProtocolData, message: IsupMessage) -> None:
+    def isup_received(self, association: Association, label: ProtocolData, message: IsupMessage) -> None:
         key = (label.opc, message.cic)
         circuit = self.circuits.get(key)
         if message.message_type == IsupMessageType.IAM:
-            self._set_up(association, key, circuit, message)
+            self._handle_iam(association, key, circuit, message)
         elif message.message_type in (IsupMessageType.REL, IsupMessageType.RSC):
             association.send_isup(label.opc, IsupMessage(message.cic, IsupMessageType.RLC))
             if circuit is not None:
-                if not circuit.clearing and not self.core.caller_released(circuit.call):
-                    self.core.caller_abandoned(circuit.call)
+                if not circuit.clearing and not self.core.caller_released(circuit.call_id):
+                    self.core.caller_abandoned(circuit.call_id)
                 self._drop(circuit)
         elif message.message_type == IsupMessageType.RLC and circuit is not None and circuit.clearing:
             self._drop(circuit)
 
-    def _set_up(self, association: Association, key: Key, before: Circuit | None, m: IsupMessage) -> None:
-        if before is not None and not before.clearing:
-            return  # sent again: the first one's answer is the only one
-        if before is not None:
-            self._drop(before)  # the client uses the circuit anew, so it has heard our release
-        exchange = next((n.exchange for n in self.numbers if m.called_number.startswith(n.prefix)), None)
-        rule = next(
+    def _handle_iam(
+        self, association: Association, key: CircuitKey, previous: Circuit | None, message: IsupMessage
+    ) -> None:
+        if previous is not None and not previous.clearing:
+            return  # a retransmission: the first IAM gets the one response
+        if previous is not None:
+            self._drop(previous)  # the client reuses the circuit, so it has received the release
+        exchange = next(
+            (
+                mapping.exchange
+                for mapping in self.prefix_mappings
+                if message.called_number.startswith(mapping.prefix)
+            ),
+            None,
+        )
+        class_mapping = next(
             (
-                c
-                for c in self.classes
-                if c.category in (None, m.category) and c.requirement in (None, m.requirement)
+                candidate
+                for candidate in self.class_mappings
+                if candidate.category in (None, message.category)
+                and candidate.requirement in (None, message.requirement)
             ),
             None,
         )
         circuit = Circuit(os.urandom(8).hex(), key, association.handle)
         self.circuits[key] = circuit
-        if exchange is None or rule is None or not m.called_number:
-            self._release(
-                circuit, UNALLOCATED if exchange is None or not m.called_number else NOT_IMPLEMENTED
+        if exchange is None or class_mapping is None or not message.called_number:
+            self._send_release(
+                circuit,
+                Q850_UNALLOCATED if exchange is None or not message.called_number else Q850_NOT_IMPLEMENTED,
             )
             return
-        self.by_call[circuit.call] = key
-        offer = SetUpParams(
-            circuit.call, rule.class_name, m.called_number, int(m.called_number, 16), exchange, rule.width,
-            self.loop.now + rule.deadline_ns, m.uui,
+        self.key_by_call_id[circuit.call_id] = key
+        params = SetUpParams(
+            circuit.call_id, class_mapping.class_name, message.called_number, int(message.called_number, 16),
+            exchange, class_mapping.width, self.loop.now + class_mapping.deadline_ns, message.uui,
         )  # fmt: skip
-        self.core.submit(self, association.handle, offer)
+        self.core.submit(self, association.handle, params)
 
     # --- From the core ----------------------------------------------------------------------------------
 
-    def respond(self, request: Request, answer: FinalResponse) -> None:
-        circuit = self._circuit(request.params.call_id)
+    def respond(self, request: Request, response: FinalResponse) -> None:
+        circuit = self._find_circuit(request.params.call_id)
         if circuit is None:
             return
-        association = self.associations.get(circuit.line)
-        if answer.result != ESTABLISHED:
-            level = 1 if answer.retry_after_ns > 0 else 0  # ISUP's word for "come back later"
-            self._release(circuit, causes.release_cause(answer), level)
-        elif len(answer.session_description) > UUI_MAX or association is None:
-            # It can't be passed on whole, and half a description is none: the call is cleared both ways.
+        association = self.associations.get(circuit.association_handle)
+        if response.result != ESTABLISHED:
+            congestion = 1 if response.retry_after_ns > 0 else 0  # asks the client to reduce its traffic
+            self._send_release(circuit, causes.release_cause(response), congestion)
+        elif len(response.session_description) > MAX_UUI_LENGTH or association is None:
+            # Either ISUP cannot carry the session description, and a part of it is useless, or the client's
+            # association is gone: release both legs.
             logger.warning(
-                "an answer's description of {} bytes can't be passed on", len(answer.session_description)
+                "releasing a call: cannot pass on its answer with a session description of {} bytes",
+                len(response.session_description),
             )
-            self.core.caller_released(circuit.call)
-            self._release(circuit, INTERWORKING)
+            self.core.caller_released(circuit.call_id)
+            self._send_release(circuit, Q850_INTERWORKING)
         else:
-            circuit.standing = True
+            circuit.established = True
             association.send_isup(circuit.key[0], IsupMessage(circuit.key[1], IsupMessageType.ACM))
             association.send_isup(
                 circuit.key[0],
-                IsupMessage(circuit.key[1], IsupMessageType.ANM, uui=answer.session_description),
+                IsupMessage(circuit.key[1], IsupMessageType.ANM, uui=response.session_description),
             )
 
     def release(self, request: Request, cause: int) -> None:
-        circuit = self._circuit(request.params.call_id)
+        circuit = self._find_circuit(request.params.call_id)
         if circuit is not None:
-            self._release(circuit, cause)
+            self._send_release(circuit, cause)
 
-    def release_unknown(self, call: str, cause: int) -> None:
-        """A call from before our restart has no circuit here that could be named."""
+    def release_unknown(self, call_id: str, cause: int) -> None:
+        """Do nothing: the circuit of a call from before a restart is not known."""
 
     @property
     def connections(self) -> int:
@@ -190,32 +216,32 @@
 
     # --- Circuits ---------------------------------------------------------------------------------------
 
-    def _circuit(self, call: str) -> Circuit | None:
-        key = self.by_call.get(call)
+    def _find_circuit(self, call_id: str) -> Circuit | None:
+        key = self.key_by_call_id.get(call_id)
         return self.circuits.get(key) if key is not None else None
 
-    def _release(self, circuit: Circuit, cause: int, congestion: int = 0) -> None:
-        """REL on the circuit's own association, else on any active one; again each T1 until its RLC."""
-        circuit.clearing, circuit.standing = True, False
-        association = self.associations.get(circuit.line)
+    def _send_release(self, circuit: Circuit, cause: int, congestion: int = 0) -> None:
+        """Send REL on the circuit's association, else on any active one; repeat it each T1 until the RLC."""
+        circuit.clearing, circuit.established = True, False
+        association = self.associations.get(circuit.association_handle)
         if association is None or association.state != ACTIVE:
             association = next((other for other in self.associations if other.state == ACTIVE), None)
         if association is not None:
             release = IsupMessage(circuit.key[1], IsupMessageType.REL, cause=cause, congestion=congestion)
             association.send_isup(circuit.key[0], release)
-        if circuit.t1 is not None:
-            circuit.t1.cancel()
-        wait = T1_NS if association is not None else RELEASE_KEPT_NS
-        act = (
-            (lambda: self._release(circuit, cause))
+        if circuit.t1_timer is not None:
+            circuit.t1_timer.cancel()
+        delay_ns = T1_NS if association is not None else RELEASE_RETENTION_NS
+        callback = (
+            (lambda: self._send_release(circuit, cause))
             if association is not None
             else (lambda: self._drop(circuit))
         )
-        circuit.t1 = self.loop.timers.schedule(self.loop.now + wait, act)
+        circuit.t1_timer = self.loop.timers.schedule(self.loop.now + delay_ns, callback)
 
     def _drop(self, circuit: Circuit) -> None:
-        if circuit.t1 is not None:
-            circuit.t1.cancel()
+        if circuit.t1_timer is not None:
+            circuit.t1_timer.cancel()
         if self.circuits.get(circuit.key) is circuit:
             del self.circuits[circuit.key]
-        self.by_call.pop(circuit.call, None)
+        self.key_by_call_id.pop(circuit.call_id, None)
--- a/arrowrail/wire/m3ua/mappings.py
+++ b/arrowrail/wire/m3ua/mappings.py
@@ -1,4 +1,4 @@
-"""What both sides of M3UA-style signalling share: the operator's mappings, and a timer."""
+"""Configured mappings from ISUP parameters, and a timer, for the M3UA frontend and backend."""
 
 from __future__ import annotations
 
@@ -6,21 +6,23 @@
 
 from arrowrail.core.requests import MS
 
-T1_NS = 15_000 * MS  # Q.764: how long a release may go without its RLC before it is sent again
+T1_NS = 15_000 * MS  # timer T1 of Q.764: REL is sent again if no RLC arrives
 
 
 @dataclass(frozen=True, slots=True)
 class ClassMapping:
-    """Which class and deadline a set-up gets; a field that is ``None`` fits any."""
+    """Class and deadline of a set-up with this category and medium requirement; ``None`` matches any."""
 
     class_name: str
     deadline_ns: int
     width: int
-    category: int | None = None
-    requirement: int | None = None
+    category: int | None = None  # calling party's category
+    requirement: int | None = None  # transmission medium requirement
 
 
 @dataclass(frozen=True, slots=True)
 class PrefixMapping:
+    """Exchange of the called numbers with a prefix."""
+
     prefix: str
     exchange: int
--- a/arrowrail/wire/m3ua/messages.py
+++ b/arrowrail/wire/m3ua/messages.py
@@ -1,6 +1,6 @@
-"""M3UA (RFC 4666) messages over TCP: header, padded TLV parameters, protocol data.  Bytes only.
+"""M3UA (RFC 4666) messages over TCP: header, padded TLV parameters, protocol data. No I/O.
 
-TCP keeps no message boundaries, so the header's own length frames the stream (the RFC runs over SCTP).
+RFC 4666 runs over SCTP. TCP keeps no message boundaries, so the length in the header delimits the messages.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from enum import IntEnum
 
 VERSION = 1
-MAX_MESSAGE = 16 * 1024
+MAX_MESSAGE_SIZE = 16 * 1024
 HEADER = struct.Struct(">BBBBI")
 TLV = struct.Struct(">HH")
 PROTOCOL_DATA_HEAD = struct.Struct(">IIBBBB")
-SI_ISUP = 5
+SI_ISUP = 5  # service indicator of ISUP
 TRAFFIC_OVERRIDE, TRAFFIC_LOADSHARE, TRAFFIC_BROADCAST = 1, 2, 3
 
 
 class MessageType(IntEnum):
-    """Message class and type in one number: class << 8 | type."""
+    """Message class and type as one number: class << 8 | type."""
 
     ERR = 0x0000
     NTFY = 0x0001
@@ -56,7 +56,7 @@
 
 
 class ErrorCode(IntEnum):
-    """Error codes of RFC 4666, 3.8.1, that are sent here."""
+    """Error codes of RFC 4666, 3.8.1, that are sent."""
 
     INVALID_VERSION = 0x01
     UNSUPPORTED_CLASS = 0x03
@@ -71,26 +71,30 @@
 
 
 class M3uaError(Exception):
-    """A message that can't be taken; ``fatal`` where the stream can't be read on behind it."""
+    """A message that is rejected; ``fatal`` if the messages after it cannot be delimited.
 
-    def __init__(self, code: ErrorCode, why: str, fatal: bool) -> None:
-        super().__init__(why)
+    The text goes to the peer as the diagnostic information of an error message.
+    """
+
+    def __init__(self, code: ErrorCode, diagnostic: str, fatal: bool) -> None:
+        super().__init__(diagnostic)
         self.code, self.fatal = code, fatal
 
 
 @dataclass(slots=True)
 class Message:
     message_type: MessageType
-    parameters: dict[int, bytes] = field(default_factory=dict)  # the first of each tag
+    parameters: dict[int, bytes] = field(default_factory=dict)  # the first one of each tag
 
     def uint32(self, tag: ParameterTag) -> int | None:
+        """Return a parameter as a 32-bit number; ``None`` if it is absent or too short."""
         value = self.parameters.get(tag)
         return int.from_bytes(value[:4], "big") if value is not None and len(value) >= 4 else None
 
 
 @dataclass(frozen=True, slots=True)
 class ProtocolData:
-    """The MTP3 routing label, and the user part's own message."""
+    """The MTP3 routing label and the message of the user part."""
 
     opc: int
     dpc: int
@@ -109,45 +113,45 @@
 
     @property
     def pending(self) -> bool:
-        """Whether a message has begun that is not whole yet."""
+        """Whether the start of an incomplete message is buffered."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Message | M3uaError]:
-        """Whole messages so far, and in their places what could not be taken; a fatal one is the last."""
+        """Return the complete messages, with an error in place of an invalid one; a fatal error is last."""
         self._buffer += data
-        found: list[Message | M3uaError] = []
+        messages: list[Message | M3uaError] = []
         while len(self._buffer) >= HEADER.size:
             version, _, message_class, message_type, length = HEADER.unpack_from(self._buffer)
             if version != VERSION:
-                found.append(M3uaError(ErrorCode.INVALID_VERSION, f"version {version}", True))
+                messages.append(M3uaError(ErrorCode.INVALID_VERSION, f"version {version}", True))
                 break
-            if length < HEADER.size or length > MAX_MESSAGE or length % 4:
-                found.append(M3uaError(ErrorCode.PROTOCOL_ERROR, f"length {length}", True))
+            if length < HEADER.size or length > MAX_MESSAGE_SIZE or length % 4:
+                messages.append(M3uaError(ErrorCode.PROTOCOL_ERROR, f"length {length}", True))
                 break
             if len(self._buffer) < length:
                 break
             frame = bytes(self._buffer[:length])
             del self._buffer[:length]
-            found.append(_read(message_class, message_type, frame))
-        return found
+            messages.append(_decode_frame(message_class, message_type, frame))
+        return messages
 
 
-def _read(message_class: int, message_type: int, frame: bytes) -> Message | M3uaError:
+def _decode_frame(message_class: int, message_type: int, frame: bytes) -> Message | M3uaError:
     try:
         message = Message(MessageType(message_class << 8 | message_type))
     except ValueError:
         known = any(known_type >> 8 == message_class for known_type in MessageType)
         code = ErrorCode.UNSUPPORTED_TYPE if known else ErrorCode.UNSUPPORTED_CLASS
         return M3uaError(code, f"class {message_class} type {message_type}", False)
-    at = HEADER.size
-    while at < len(frame):
-        if at + TLV.size > len(frame):
+    offset = HEADER.size
+    while offset < len(frame):
+        if offset + TLV.size > len(frame):
             return M3uaError(ErrorCode.PARAMETER_FIELD, "half a parameter", False)
-        tag, length = TLV.unpack_from(frame, at)
-        if length < TLV.size or at + length > len(frame):
+        tag, length = TLV.unpack_from(frame, offset)
+        if length < TLV.size or offset + length > len(frame):
             return M3uaError(ErrorCode.PARAMETER_FIELD, f"parameter {tag:#x} runs past the end", False)
-        message.parameters.setdefault(tag, frame[at + TLV.size : at + length])
-        at += -(-length // 4) * 4  # padding is not counted in the parameter's length
+        message.parameters.setdefault(tag, frame[offset + TLV.size : offset + length])
+        offset += -(-length // 4) * 4  # the length does not include the padding
     return message
 
 
@@ -168,10 +172,10 @@
     return value.to_bytes(4, "big")
 
 
-def encode_error(code: ErrorCode, text: str = "") -> bytes:
+def encode_error(code: ErrorCode, diagnostic: str = "") -> bytes:
     parameters = {int(ParameterTag.ERROR_CODE): encode_uint32(code)}
-    if text:
-        parameters[ParameterTag.DIAGNOSTIC] = text.encode()[:128]
+    if diagnostic:
+        parameters[ParameterTag.DIAGNOSTIC] = diagnostic.encode()[:128]
     return encode(Message(MessageType.ERR, parameters))
 
 
--- a/tests/test_live_m3ua.py
+++ b/tests/test_live_m3ua.py
@@ -478,7 +478,7 @@
 def test_peers_that_say_nothing_or_half_a_message_lose_their_places_to_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(m3ua_association, "UNFINISHED_NS", 600_000_000)
+    monkeypatch.setattr(m3ua_association, "MESSAGE_TIMEOUT_NS", 600_000_000)
     monkeypatch.setattr(m3ua_frontend, "MAX_CLIENTS", 3)
     port = Listening()
     with running(operator=configured(behind("m1", port, 1, DESK))) as run:
