--- a/arrowrail/wire/m3ua/frontend.py
+++ b/arrowrail/wire/m3ua/frontend.py
@@ -69,22 +69,22 @@
             self.address,
             self._accepted,
             lambda: len(self.associations) < MAX_CLIENTS,
-            self._evict_inactive,
+            self._evict_idle,
         )
 
-    def _evict_inactive(self) -> bool:
+    def _evict_idle(self) -> bool:
         """Close an association without a handshake, so that silent peers do not take the place of clients.
 
         Returns whether there was one.
         """
-        inactive = [
+        down = [
             association
             for association in self.associations
             if association.state == DOWN and association.stream is not None
         ]
-        if inactive and inactive[0].stream is not None:
-            inactive[0].stream.fail(None)
-        return bool(inactive)
+        if down and down[0].stream is not None:
+            down[0].stream.fail(None)
+        return bool(down)
 
     # --- Associations -----------------------------------------------------------------------------------
 
