--- a/arrowrail/wire/bus/client.py
+++ b/arrowrail/wire/bus/client.py
@@ -36,7 +36,7 @@
         self._streaming = False  # whether the last log event says that the stream is being read
 
     def start(self, known: list[BusEvent], offset: int) -> None:
-        """Apply the events of the configuration, then read the stream from ``offset`` on."""
+        """Applies the events of the configuration, then reads the stream from ``offset`` on."""
         for event in known:
             self._apply(event)
         self.last_offset = max(self.last_offset, offset)
@@ -44,7 +44,7 @@
             self.open()
 
     def change_address(self, address: str) -> None:
-        """Continue at another address from the last offset read: the bus there uses the same offsets."""
+        """Continues at another address from the last offset read: the bus there uses the same offsets."""
         if address == self.address:
             return
         self.address, self.backoff_ns = address, MIN_BACKOFF_NS
--- a/arrowrail/wire/http.py
+++ b/arrowrail/wire/http.py
@@ -22,7 +22,7 @@
         self.complete = True
 
     def feed(self, data: bytes) -> bytes:
-        """Return the part of the response body that ``data`` contains."""
+        """Returns the part of the response body that ``data`` contains."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
--- a/arrowrail/wire/m3ua/association.py
+++ b/arrowrail/wire/m3ua/association.py
@@ -63,7 +63,7 @@
         self._check_timer: Timer | None = None
         self._heartbeat_timer: Timer | None = None
         self._last_received_ns = loop.now
-        self.protocol_errors = RateLimitedWarning(loop)
+        self.protocol_error_warning = RateLimitedWarning(loop)
         self._message_timeout = MessageTimeout(loop, MESSAGE_TIMEOUT_NS, self._message_timed_out)
 
     # --- The connection ---------------------------------------------------------------------------------
@@ -88,7 +88,7 @@
                     raise message
                 self._handle_message(message)
             except M3uaError as error:
-                self.protocol_errors.record(f"M3UA: {error}")
+                self.protocol_error_warning.record(f"M3UA: {error}")
                 self._send(m3ua.encode_error(error.code, str(error)))
                 if error.fatal and self.stream is not None:
                     self.stream.close_gracefully()
@@ -98,7 +98,7 @@
                 return
 
     def _message_timed_out(self) -> None:
-        """Disconnect: an incomplete message would block all later ones, however slowly its bytes arrive."""
+        """Disconnects: an incomplete message would block all later ones, however slowly its bytes arrive."""
         if self.stream is not None:
             self.stream.fail(OSError(errno.ETIMEDOUT, "incomplete message"))
 
@@ -111,7 +111,7 @@
         self.handler.association_lost(self, error)
 
     def close(self) -> None:
-        """Close gracefully; an ASP that is up sends ASPDN first."""
+        """Closes gracefully; an ASP that is up sends ASPDN first."""
         stream = self.stream
         if stream is not None:
             if self.is_asp and self.state != DOWN:
@@ -139,7 +139,7 @@
         return self._last_received_ns
 
     def check_peer(self) -> None:
-        """Send an extra heartbeat and disconnect if the peer sends nothing after it in time."""
+        """Sends an extra heartbeat and disconnects if the peer sends nothing in time after it."""
         if self._check_timer is not None or self.state == DOWN:
             return
         self._send_heartbeat()
@@ -158,7 +158,7 @@
         self._send(m3ua.encode(Message(MessageType.BEAT, parameters)))
 
     def _heartbeat_due(self) -> None:
-        """Disconnect if the peer has vanished or stalled, otherwise send the next heartbeat."""
+        """Disconnects if the peer has vanished or stalled, otherwise sends the next heartbeat."""
         silent_ns = self.loop.now - self._last_received_ns
         if silent_ns > MAX_MISSED_HEARTBEATS * self.settings.heartbeat_interval_ns:
             if self.stream is not None:
--- a/arrowrail/wire/m3ua/backend.py
+++ b/arrowrail/wire/m3ua/backend.py
@@ -24,7 +24,7 @@
 from arrowrail.wire.reconnect import ReconnectTimer
 from arrowrail.wire.stream import connect
 
-SWEEP_INTERVAL_NS = 150 * MS  # between checks for servers that have become silent
+CHECK_INTERVAL_NS = 150 * MS  # between two checks for servers that no longer respond
 CAUSE_NO_CIRCUIT = 1  # cause code of the decision module
 Q850_FACILITY_REJECTED = 29
 
@@ -77,7 +77,7 @@
         self.reconnect_timer.start_connect_timeout(self.backend.connect_timeout_ns, stream)
 
     def association_active(self, association: Association) -> None:
-        """Send the set-ups that waited for the handshake, and the releases that are still unconfirmed."""
+        """Sends the set-ups that waited for the handshake, and the releases that are still unconfirmed."""
         self.reconnect_timer.reset_backoff()
         self.monitor.connected(self.backend.loop.now)
         for call in list(self.calls_by_cic.values()):
@@ -88,7 +88,7 @@
         self.report_circuits()
 
     def association_lost(self, association: Association, error: OSError | None) -> None:
-        """Fail the unanswered set-ups. Established calls do not depend on the association."""
+        """Fails the unanswered set-ups. Established calls do not depend on the association."""
         if self.association is not association:
             return
         stream, self.association = association.stream, None
@@ -119,7 +119,7 @@
         self.check_server()
 
     def check_server(self) -> None:
-        """End the calls of a server that is gone; send a heartbeat to a silent one that has calls."""
+        """Ends the calls of a server that is gone; sends a heartbeat to a silent one that has calls."""
         now, core = self.backend.loop.now, self.backend.core
         association = self.association
         if association is not None and association.state == ACTIVE:
@@ -178,8 +178,8 @@
             call.sent = True
             self.association.send_isup(self.endpoint.entry.point_code, iam, call.call_id)
 
-    def withdraw(self, call_id: str) -> bool:
-        """Discard the set-up of a call that has ended, or whose exchange drains, if it is still unsent.
+    def discard_set_up(self, call_id: str) -> bool:
+        """Discards the set-up of a call that has ended, or whose exchange drains, if it is still unsent.
 
         Returns whether it was discarded.
         """
@@ -198,7 +198,7 @@
             self._send_release(call, cause)
 
     def _send_release(self, call: OutgoingCall, cause: int) -> None:
-        """Send REL, and again each T1 until the RLC, which makes its circuits idle."""
+        """Sends REL, and again each T1 until the RLC, which makes its circuits idle."""
         call.clearing = True
         if self.association is not None and self.association.state == ACTIVE:
             self.association.send_isup(
@@ -262,18 +262,18 @@
         self.trunk_groups: dict[int, TrunkGroup] = {}
         self.update_mappings(class_mappings)
         core.backends["m3ua"] = self
-        self.loop.timers.schedule(self.loop.now + SWEEP_INTERVAL_NS, self._sweep)
+        self.loop.timers.schedule(self.loop.now + CHECK_INTERVAL_NS, self._check_servers)
 
-    def _sweep(self) -> None:
+    def _check_servers(self) -> None:
         for trunk_group in list(self.trunk_groups.values()):
             trunk_group.check_server()
-        self.loop.timers.schedule(self.loop.now + SWEEP_INTERVAL_NS, self._sweep)
+        self.loop.timers.schedule(self.loop.now + CHECK_INTERVAL_NS, self._check_servers)
 
     def update_mappings(self, class_mappings: tuple[ClassMapping, ...]) -> None:
         self._mappings_by_class = {mapping.class_name: mapping for mapping in reversed(class_mappings)}
 
     def bearer_of(self, class_name: str) -> tuple[int, int]:
-        """Return the calling party's category and the transmission medium requirement of a class."""
+        """Returns the calling party's category and the transmission medium requirement of a class."""
         mapping = self._mappings_by_class.get(class_name)
         category = mapping.category if mapping is not None and mapping.category is not None else 0x0A
         return category, (
@@ -286,7 +286,7 @@
             self._trunk_group(endpoint).open()
         elif trunk_group is not None:
             for call_id in list(trunk_group.active_calls):
-                if trunk_group.withdraw(call_id):
+                if trunk_group.discard_set_up(call_id):
                     self.core.attempt_failed(endpoint, call_id, "not_sent")
             if endpoint.entry.state == TERMINATED:
                 trunk_group.close()
@@ -301,12 +301,12 @@
             )
         return trunk_group
 
-    def set_up(self, endpoint: Endpoint, params: SetUpParams, _wait_ns: int) -> None:
+    def set_up(self, endpoint: Endpoint, params: SetUpParams, _timeout_ns: int) -> None:
         self._trunk_group(endpoint).set_up(params)
 
     def cancel_set_up(self, endpoint: Endpoint, call_id: str) -> None:
         trunk_group = self.trunk_groups.get(endpoint.endpoint_id)
-        if trunk_group is not None and not trunk_group.withdraw(call_id):
+        if trunk_group is not None and not trunk_group.discard_set_up(call_id):
             trunk_group.release(call_id, causes.NORMAL_CLEARING)
 
     def release(self, endpoint: Endpoint, call_id: str, cause: int) -> None:
--- a/arrowrail/wire/m3ua/frontend.py
+++ b/arrowrail/wire/m3ua/frontend.py
@@ -57,7 +57,7 @@
     def update_mappings(
         self, class_mappings: tuple[ClassMapping, ...], prefix_mappings: tuple[PrefixMapping, ...]
     ) -> None:
-        """Use these mappings for new calls; existing calls keep theirs."""
+        """Uses these mappings for new calls; existing calls keep theirs."""
         self.class_mappings = class_mappings
         # Longest prefix first, as the first match is used.
         self.prefix_mappings = sorted(prefix_mappings, key=lambda mapping: -len(mapping.prefix))
@@ -73,7 +73,7 @@
         )
 
     def _evict_idle(self) -> bool:
-        """Close an association without a handshake, so that silent peers do not take the place of clients.
+        """Closes an association without a handshake, so that silent peers do not take the place of clients.
 
         Returns whether there was one.
         """
@@ -95,7 +95,7 @@
         association.connected()
 
     def association_active(self, association: Association) -> None:
-        """Send the releases that found no active association; any association may carry them."""
+        """Sends the releases that found no active association; any association may carry them."""
         for circuit in list(self.circuits.values()):
             own_association = self.associations.get(circuit.association_handle)
             if circuit.clearing and (own_association is None or own_association.state != ACTIVE):
@@ -203,7 +203,7 @@
             self._send_release(circuit, cause)
 
     def release_unknown(self, call_id: str, cause: int) -> None:
-        """Do nothing: the circuit of a call from before a restart is not known."""
+        """Does nothing: the circuit of a call from before a restart is not known."""
 
     @property
     def connections(self) -> int:
@@ -221,7 +221,7 @@
         return self.circuits.get(key) if key is not None else None
 
     def _send_release(self, circuit: Circuit, cause: int, congestion: int = 0) -> None:
-        """Send REL on the circuit's association, else on any active one; repeat it each T1 until the RLC."""
+        """Sends REL on the circuit's association, else on any active one, and repeats it each T1."""
         circuit.clearing, circuit.established = True, False
         association = self.associations.get(circuit.association_handle)
         if association is None or association.state != ACTIVE:
--- a/arrowrail/wire/m3ua/messages.py
+++ b/arrowrail/wire/m3ua/messages.py
@@ -87,7 +87,7 @@
     parameters: dict[int, bytes] = field(default_factory=dict)  # the first one of each tag
 
     def uint32(self, tag: ParameterTag) -> int | None:
-        """Return a parameter as a 32-bit number; ``None`` if it is absent or too short."""
+        """Returns a parameter as a 32-bit number; ``None`` if it is absent or too short."""
         value = self.parameters.get(tag)
         return int.from_bytes(value[:4], "big") if value is not None and len(value) >= 4 else None
 
@@ -117,7 +117,7 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Message | M3uaError]:
-        """Return the complete messages, with an error in place of an invalid one; a fatal error is last."""
+        """Returns the complete messages, with an error in place of an invalid one; a fatal error is last."""
         self._buffer += data
         messages: list[Message | M3uaError] = []
         while len(self._buffer) >= HEADER.size:
