--- a/tests/test_live_m3ua.py
+++ b/tests/test_live_m3ua.py
@@ -1,4 +1,4 @@
-"""M3UA-style signalling on real sockets: clients before the program, desk exchanges behind it."""
+"""M3UA-style signalling on real sockets: clients, a controller, and desk exchanges as its servers."""
 
 from __future__ import annotations
 
@@ -40,65 +40,69 @@
     IsupMessageType.REL,
     IsupMessageType.RLC,
 )
-OWN, CLIENT, DESK, OTHER = 1, 11, 21, 22
-CALL = "00000000000000a1"
+OWN_PC, CLIENT_PC, DESK_PC, OTHER_DESK_PC = 1, 11, 21, 22  # point codes
+CALL_ID = "00000000000000a1"
 
 
-def configured(*desks: dict[str, Any], deadline_ms: int = 8000) -> Controller:
+def controller_records(*desks: dict[str, Any], deadline_ms: int = 8000) -> Controller:
     return operator(
         m3ua={
-            "enabled": True, "listen": "127.0.0.1:0", "point_code": OWN, "circuits": 10, "desks": desks,
+            "enabled": True, "listen": "127.0.0.1:0", "point_code": OWN_PC, "circuits": 10, "desks": desks,
             "heartbeat_ms": 60000, "classes": [{"name": "check", "deadline_ms": deadline_ms}],
             "numbers": [{"prefix": "1", "exchange": 1}, {"prefix": "2", "exchange": 2}],
         }
     )  # fmt: skip
 
 
-def behind(uid: str, port: Listening, exchange: int, point_code: int) -> dict[str, Any]:
+def desk_record(uid: str, port: Listening, exchange: int, point_code: int) -> dict[str, Any]:
     return {"uid": uid, "address": port.address, "exchange": exchange, "point_code": point_code}
 
 
-def client(run: Running) -> M3uaPeer:
-    front: Any = next(f for f in run.core.frontends if type(f).__name__ == "M3uaFrontend")
-    sock = Caller(front.listener.port).sock
-    return M3uaPeer(sock, CLIENT, OWN).up()
+def connect_client(run: Running) -> M3uaPeer:
+    frontend: Any = next(
+        frontend for frontend in run.core.frontends if type(frontend).__name__ == "M3uaFrontend"
+    )
+    sock = Caller(frontend.listener.port).sock
+    return M3uaPeer(sock, CLIENT_PC, OWN_PC).up()
 
 
-class Placing:
-    """Calls by number, placed over either front; each must end in exactly one answer of the same kind."""
+class CallClient:
+    """Places numbered calls over either frontend; each must get exactly one equivalent final response."""
 
     def __init__(self, run: Running, over_sip: bool) -> None:
         self.sip = Caller(run.port) if over_sip else None
-        self.m3ua = client(run)
+        self.m3ua = connect_client(run)
 
-    def place(self, n: int) -> None:
+    def place(self, number: int) -> None:
         if self.sip is not None:
-            self.sip.invite(f"{n:016x}", body=b"sdp")
+            self.sip.invite(f"{number:016x}", body=b"sdp")
         else:
-            self.m3ua.send(n, IAM, called_number="15")
+            self.m3ua.send(number, IAM, called_number="15")
 
-    def answer(self) -> tuple[int, str]:
-        """The next final answer: which call, and of what kind."""
+    def final_response(self) -> tuple[int, str]:
+        """Returns the call and the result of the next final response."""
         if self.sip is not None:
-            m = self.sip.take(lambda m: m.status >= 200 and m.cseq_method == "INVITE")
-            return int(m.call_id, 16), {200: "stands", 503: "refused"}.get(m.status, "failed")
-        final = _final(self.m3ua)
+            message = self.sip.take(lambda m: m.status >= 200 and m.cseq_method == "INVITE")
+            return int(message.call_id, 16), {200: "established", 503: "refused"}.get(
+                message.status, "failed"
+            )
+        final = _next_final_message(self.m3ua)
         if final.message_type == ANM:
-            return final.cic, "stands"
+            return final.cic, "established"
         return final.cic, "refused" if final.cause in causes.REFUSED_CAUSES.values() else "failed"
 
-    def cut(self) -> int:
-        """The next call that stood and is cut."""
+    def released_call(self) -> int:
+        """Returns the next established call that is released with a failure."""
         if self.sip is not None:
-            m = self.sip.take(lambda m: m.method == "BYE")
-            assert m.headers["reason"] == "Q.850;cause=41"
-            return int(m.call_id, 16)
+            message = self.sip.take(lambda m: m.method == "BYE")
+            assert message.headers["reason"] == "Q.850;cause=41"
+            return int(message.call_id, 16)
         release = self.m3ua.isup(REL)
         assert release.cause == 41
         return release.cic
 
-    def nothing_more(self) -> None:
-        """An echo comes back with no further answer before it."""
+    def assert_no_more_responses(self) -> None:
+        """Checks that the answer to a keep-alive comes without a further final response before it."""
         if self.sip is not None:
             self.sip.send("OPTIONS", "ee")
             assert self.sip.take().call_id == "ee"
@@ -106,26 +110,28 @@
         assert self.m3ua.take().message_type == MessageType.BEAT_ACK
 
 
-def desk(port: Listening, point_code: int = DESK) -> M3uaPeer:
-    return M3uaPeer(port.accept(), point_code, OWN).let_up()
+def accept_desk(port: Listening, point_code: int = DESK_PC) -> M3uaPeer:
+    return M3uaPeer(port.accept(), point_code, OWN_PC).let_up()
 
 
 @contextmanager
-def both_sides(deadline_ms: int = 8000) -> Iterator[tuple[Running, M3uaPeer, M3uaPeer]]:
+def client_and_desk(deadline_ms: int = 8000) -> Iterator[tuple[Running, M3uaPeer, M3uaPeer]]:
     port = Listening()
-    with running(operator=configured(behind("m1", port, 1, DESK), deadline_ms=deadline_ms)) as run:
-        peer = desk(port)
+    with running(
+        operator=controller_records(desk_record("m1", port, 1, DESK_PC), deadline_ms=deadline_ms)
+    ) as run:
+        peer = accept_desk(port)
         run.until(
             lambda: (
                 1 in run.core.decision_module.trunk_groups
                 and run.core.decision_module.trunk_groups[1].size == 10
             )
         )
-        yield run, client(run), peer
+        yield run, connect_client(run), peer
 
 
-def test_a_call_passes_both_ways_and_is_released_by_either_side() -> None:
-    with both_sides() as (run, caller, peer):
+def test_call_is_set_up_and_released_by_either_side() -> None:
+    with client_and_desk() as (run, caller, peer):
         caller.send(7, IAM, called_number="1234", uui=b"offer")
         sent = peer.isup(IAM)
         assert (sent.called_number, sent.uui) == ("1234", b"offer")
@@ -137,31 +143,31 @@
         peer.isup(RLC, sent.cic)
         assert caller.isup(REL, 7).cause == 16
         caller.send(7, RLC)
-        caller.send(7, IAM, called_number="1234")  # the circuit is used again
+        caller.send(7, IAM, called_number="1234")  # reuses the circuit
         again = peer.isup(IAM)
         peer.send(again.cic, ANM)
         caller.isup(ANM, 7)
         caller.send(7, REL, cause=16)
         caller.isup(RLC, 7)
         assert peer.isup(REL, again.cic).cause == 16
-        assert run.core.decision_module.trunk_groups[1].free == 9  # taken until it is confirmed
+        assert run.core.decision_module.trunk_groups[1].free == 9  # occupied until the RLC
         peer.send(again.cic, RLC)
         run.until(lambda: run.core.decision_module.trunk_groups[1].free == 10)
 
 
 @pytest.mark.parametrize("over_sip", [False, True])
 @pytest.mark.parametrize(("cause", "to_client"), [(34, 34), (42, 42), (17, 17), (47, 47)])
-def test_each_refusal_is_the_same_answer_over_sip(cause: int, to_client: int, over_sip: bool) -> None:
-    with both_sides() as (run, caller, peer):
+def test_refusals_are_equivalent_over_sip_and_m3ua(cause: int, to_client: int, over_sip: bool) -> None:
+    with client_and_desk() as (run, caller, peer):
         if over_sip:
             sip = Caller(run.port)
-            sip.invite(CALL, body=b"short")
+            sip.invite(CALL_ID, body=b"short")
         else:
             caller.send(1, IAM, called_number="15")
-        for _ in range(4 if cause == 47 else 1):  # a fault is no reason not to try the same way again
+        for _ in range(4 if cause == 47 else 1):  # this cause lets the same route be tried again
             peer.send(peer.isup(IAM).cic, REL, cause=cause)
         if over_sip:
-            answer = sip.answer(CALL)
+            answer = sip.answer(CALL_ID)
             assert answer.status == 503 and int(answer.headers["x-later-ms"]) > 0
         else:
             release = caller.isup(REL, 1)
@@ -169,36 +175,36 @@
 
 
 @pytest.mark.parametrize("over_sip", [False, True])
-def test_no_answer_by_the_mapped_deadline_is_a_failure_on_both(over_sip: bool) -> None:
-    with both_sides(deadline_ms=150) as (run, caller, peer):
+def test_no_answer_by_the_mapped_deadline_fails_the_call(over_sip: bool) -> None:
+    with client_and_desk(deadline_ms=150) as (run, caller, peer):
         sip = Caller(run.port)
         if over_sip:
-            sip.invite(CALL, patience=150, body=b"sdp")
+            sip.invite(CALL_ID, patience=150, body=b"sdp")
         else:
             caller.send(1, IAM, called_number="15")
         out = peer.isup(IAM)
         if over_sip:
-            assert sip.answer(CALL).status == 500
+            assert sip.answer(CALL_ID).status == 500
         else:
             assert caller.isup(REL, 1).cause == 102
         assert peer.isup(REL, out.cic).cause == 16
-        peer.send(out.cic, ANM)  # crossed: the circuit is being cleared already
+        peer.send(out.cic, ANM)  # crosses the release on the circuit
         peer.send(out.cic, RLC)
         run.until(lambda: not run.core.requests and run.core.decision_module.trunk_groups[1].free == 10)
 
 
 @pytest.mark.parametrize(("called_number", "cause"), [("9", 1), ("2", 34)])
-def test_a_number_without_a_route_is_refused(called_number: str, cause: int) -> None:
-    with both_sides() as (_run, caller, _peer):
+def test_number_without_a_route_is_refused(called_number: str, cause: int) -> None:
+    with client_and_desk() as (_run, caller, _peer):
         caller.send(1, IAM, called_number=called_number)
         assert caller.isup(REL, 1).cause == cause
 
 
-def test_a_client_that_releases_early_or_goes_gives_its_set_up_up() -> None:
-    with both_sides() as (run, caller, peer):
+def test_early_release_or_disconnect_of_a_client_cancels_its_set_up() -> None:
+    with client_and_desk() as (run, caller, peer):
         caller.send(1, IAM, called_number="15")
         first = peer.isup(IAM)
-        caller.send(1, IAM, called_number="15")  # sent again: no second call
+        caller.send(1, IAM, called_number="15")  # a retransmission: no second call
         caller.send(1, REL, cause=16)
         caller.isup(RLC, 1)
         assert peer.isup(REL, first.cic).cause == 16
@@ -209,69 +215,73 @@
         run.until(lambda: not run.core.requests)
 
 
-def test_a_circuit_reset_by_either_side_cuts_what_is_on_it() -> None:
-    with both_sides() as (run, caller, peer):
-        for cic, resets in ((1, caller), (2, peer)):
+def test_circuit_reset_by_either_side_releases_its_call() -> None:
+    with client_and_desk() as (run, caller, peer):
+        for cic, resetting_peer in ((1, caller), (2, peer)):
             caller.send(cic, IAM, called_number="15")
             out = peer.isup(IAM)
             peer.send(out.cic, ANM)
             caller.isup(ANM, cic)
-            resets.send(cic if resets is caller else out.cic, IsupMessageType.RSC)
-            resets.isup(RLC)
-            if resets is caller:
+            resetting_peer.send(cic if resetting_peer is caller else out.cic, IsupMessageType.RSC)
+            resetting_peer.isup(RLC)
+            if resetting_peer is caller:
                 assert peer.isup(REL).cause == 16
             else:
                 assert caller.isup(REL, cic).cause == 41
         run.until(lambda: not run.core.requests)
 
 
-def test_a_call_that_a_desk_exchange_begins_is_rejected() -> None:
-    with both_sides() as (_run, _caller, peer):
+def test_call_from_a_desk_exchange_is_rejected() -> None:
+    with client_and_desk() as (_run, _caller, peer):
         peer.send(9, IAM, called_number="15")
         assert peer.isup(REL, 9).cause == 29
 
 
-def test_a_standing_call_outlives_its_client_association() -> None:
-    with both_sides() as (run, caller, peer):
+def test_established_call_outlives_its_client_association() -> None:
+    with client_and_desk() as (run, caller, peer):
         caller.send(1, IAM, called_number="15")
         out = peer.isup(IAM)
         peer.send(out.cic, ANM)
         caller.isup(ANM, 1)
         caller.reset()
-        front: Any = run.core.frontends[0]
-        run.until(lambda: len(front.associations) == 0)
+        frontend: Any = run.core.frontends[0]
+        run.until(lambda: len(frontend.associations) == 0)
         peer.send(out.cic, REL, cause=16)
         run.until(lambda: not run.core.requests)
-        assert client(run).isup(REL, 1).cause == 16
+        assert connect_client(run).isup(REL, 1).cause == 16
 
 
-def test_sip_calls_reach_m3ua_desk_exchanges_and_the_other_way_round() -> None:
+def test_sip_calls_reach_m3ua_desk_exchanges_and_vice_versa() -> None:
     sip_port, m3ua_port = Listening(), Listening()
-    described = configured(behind("m1", m3ua_port, 2, DESK))
-    with running(target("d1", sip_port.address, 1), operator=described) as run:
-        binary_peer, m3ua_peer = sip_port.desk(), desk(m3ua_port)
+    records = controller_records(desk_record("m1", m3ua_port, 2, DESK_PC))
+    with running(target("d1", sip_port.address, 1), operator=records) as run:
+        binary_peer, m3ua_peer = sip_port.desk(), accept_desk(m3ua_port)
         run.until(lambda: len([g for g in run.core.decision_module.trunk_groups.values() if g.size > 0]) == 2)
-        caller, sip = client(run), Caller(run.port)
+        caller, sip = connect_client(run), Caller(run.port)
         caller.send(1, IAM, called_number="12", uui=b"o")
         sent = binary_peer.take(lambda m: m.message_type == binary.SET_UP)
         assert (sent.class_name, sent.number, sent.session_description) == ("check", "12", b"o")
         tell(binary_peer, binary.ANSWER, f"{sent.call_id:016x}", session_description=b"a")
         assert caller.isup(ANM, 1).uui == b"a"
-        sip.invite(CALL, dest=2, body=b"o")
+        sip.invite(CALL_ID, dest=2, body=b"o")
         out = m3ua_peer.isup(IAM)
         m3ua_peer.send(out.cic, ANM, uui=b"a")
-        assert (sip.answer(CALL).status, out.uui) == (200, b"o")
+        assert (sip.answer(CALL_ID).status, out.uui) == (200, b"o")
 
 
 @pytest.mark.parametrize("over_sip", [False, True])
-def test_a_peer_stalled_in_the_middle_of_a_message_gets_nothing_late(over_sip: bool) -> None:
-    """A desk exchange reads nothing and sends half a message, with set-ups queued behind; then it drains."""
+def test_stalled_exchange_gets_no_set_up_after_it_drains(over_sip: bool) -> None:
+    """A draining exchange must not receive set-ups that were queued before.
+
+    The exchange stops reading and sends half a message while set-ups are queued; then it drains. Set-ups that
+    stay queued would be written as soon as it reads again.
+    """
     port, bus = Listening(receive_buffer=2048), BusStand()
-    line = target("m1", port.address, 1, signalling="m3ua", point_code=DESK)
-    with running(operator=configured(), bus=bus.port.address) as run:
+    listed_target = target("m1", port.address, 1, signalling="m3ua", point_code=DESK_PC)
+    with running(operator=controller_records(), bus=bus.port.address) as run:
         bus.accept()
-        bus.tell(news(2, line))
-        peer, caller = desk(port), Placing(run, over_sip)
+        bus.tell(news(2, listed_target))
+        peer, caller = accept_desk(port), CallClient(run, over_sip)
         run.until(
             lambda: (
                 1 in run.core.decision_module.trunk_groups
@@ -280,50 +290,58 @@
         )
         caller.place(1)
         out = peer.isup(IAM)
-        back: Any = run.core.backends["m3ua"]
-        stream = back.trunk_groups[1].association.stream
-        beats = 0
-        while run.look(lambda: stream.flushed):  # its echoes fill the way to the peer
+        backend: Any = run.core.backends["m3ua"]
+        stream = backend.trunk_groups[1].association.stream
+        heartbeats = 0
+        # Acknowledgements of heartbeats fill the socket buffers toward the peer.
+        while run.look(lambda: stream.flushed):
             peer.say(MessageType.BEAT, HEARTBEAT=b"x" * 8000)
-            beats += 1
-            assert beats < 1000
-        half = peer.frame(IsupMessage(out.cic, ANM, uui=b"answer"))
-        peer.sock.sendall(half[:20])
+            heartbeats += 1
+            assert heartbeats < 1000
+        partial = peer.frame(IsupMessage(out.cic, ANM, uui=b"answer"))
+        peer.sock.sendall(partial[:20])
         for cic in (2, 3, 4):
             caller.place(cic)
         run.until(
             lambda: (
-                len([u for u in back.trunk_groups[1].calls_by_cic.values() if stream.is_unsent(u.call_id)])
+                len(
+                    [
+                        call
+                        for call in backend.trunk_groups[1].calls_by_cic.values()
+                        if stream.is_unsent(call.call_id)
+                    ]
+                )
                 == 3
             )
         )
-        bus.tell(news(3, line | {"state": "terminating"}))
-        ended = sorted(caller.answer() for _ in range(3))  # at once: nothing had left
+        bus.tell(news(3, listed_target | {"state": "terminating"}))
+        ended = sorted(caller.final_response() for _ in range(3))  # at once, as nothing was transmitted
         assert ended == [(n, "refused") for n in (2, 3, 4)]
-        peer.sock.sendall(half[20:])
-        assert caller.answer() == (1, "stands")
+        peer.sock.sendall(partial[20:])
+        assert caller.final_response() == (1, "established")
         peer.say(MessageType.BEAT, HEARTBEAT=b"after")
         message = peer.take()
         while message.parameters.get(ParameterTag.HEARTBEAT) != b"after":
-            assert (
-                message.message_type == MessageType.BEAT_ACK
-            )  # no set-up, and no release of one, came behind
+            # Neither a set-up nor the release of one follows.
+            assert message.message_type == MessageType.BEAT_ACK
             message = peer.take()
-        caller.nothing_more()
+        caller.assert_no_more_responses()
         assert len(run.core.requests) == 1
 
 
 @pytest.mark.parametrize("over_sip", [False, True])
-def test_a_reset_during_a_processor_swap_ends_every_call_once(over_sip: bool) -> None:
-    """The old processor drains beside the new one, and resets its association in the middle of calls."""
+def test_reset_during_a_processor_swap_ends_every_call_once(over_sip: bool) -> None:
+    """The old processor drains while the new one serves, and resets its association during calls."""
     ports, bus = (Listening(), Listening()), BusStand()
-    old_line = target("m1", ports[0].address, 1, signalling="m3ua", point_code=DESK)
+    old_target = target("m1", ports[0].address, 1, signalling="m3ua", point_code=DESK_PC)
     booted = int(time.time() * 1000) - 60_000
-    new_line = target("m2", ports[1].address, 1, signalling="m3ua", point_code=OTHER, boot_ms=booted)
-    with running(operator=configured(), bus=bus.port.address) as run:
+    new_target = target(
+        "m2", ports[1].address, 1, signalling="m3ua", point_code=OTHER_DESK_PC, boot_ms=booted
+    )
+    with running(operator=controller_records(), bus=bus.port.address) as run:
         bus.accept()
-        bus.tell(news(2, old_line))
-        old, caller = desk(ports[0]), Placing(run, over_sip)
+        bus.tell(news(2, old_target))
+        old, caller = accept_desk(ports[0]), CallClient(run, over_sip)
         run.until(
             lambda: (
                 1 in run.core.decision_module.trunk_groups
@@ -332,53 +350,53 @@
         )
         for cic in (1, 2, 3):
             caller.place(cic)
-        outs = [old.isup(IAM).cic for _ in range(3)]
-        old.send(outs[0], ANM)
-        assert caller.answer()[1] == "stands"  # one stands, two are out
-        bus.tell(news(3, old_line | {"state": "terminating"}, new_line))
-        new = desk(ports[1], OTHER)
+        cics = [old.isup(IAM).cic for _ in range(3)]
+        old.send(cics[0], ANM)
+        assert caller.final_response()[1] == "established"  # one is established, two are unanswered
+        bus.tell(news(3, old_target | {"state": "terminating"}, new_target))
+        new = accept_desk(ports[1], OTHER_DESK_PC)
         run.until(lambda: run.core.decision_module.in_service[1].entry.endpoint_id == 2)
-        began = time.monotonic()
+        reset_at = time.monotonic()
         old.reset()
         first, second = new.isup(IAM), new.isup(IAM)
-        assert time.monotonic() - began >= 0.3  # the release pause
+        assert time.monotonic() - reset_at >= 0.3  # the release pause
         new.send(first.cic, ANM, uui=b"new")
         new.send(second.cic, REL, cause=17)
-        assert sorted(caller.answer()[1] for _ in range(2)) == ["refused", "stands"]
-        bus.tell(news(4, old_line | {"state": "terminated"}))
-        assert caller.cut() in (1, 2, 3)  # what stood on the old one
-        caller.nothing_more()
+        assert sorted(caller.final_response()[1] for _ in range(2)) == ["established", "refused"]
+        bus.tell(news(4, old_target | {"state": "terminated"}))
+        assert caller.released_call() in (1, 2, 3)  # the one established on the old processor
+        caller.assert_no_more_responses()
         assert len(run.core.requests) == 1
 
 
-def _final(caller: M3uaPeer) -> Any:
+def _next_final_message(caller: M3uaPeer) -> Any:
     while True:
         message = read_isup(m3ua.decode_data(caller.wants(MessageType.DATA)).user_data)
         if message is not None and message.message_type in (ANM, REL):
             return message
 
 
-def test_an_association_lost_before_any_list_news_pauses_and_clears_its_circuits() -> None:
+def test_association_lost_without_a_list_update_pauses_and_releases_its_circuits() -> None:
     port = Listening()
-    with running(operator=configured(behind("m1", port, 1, DESK))) as run:
-        peer = desk(port)
+    with running(operator=controller_records(desk_record("m1", port, 1, DESK_PC))) as run:
+        peer = accept_desk(port)
         run.until(
             lambda: (
                 1 in run.core.decision_module.trunk_groups
                 and run.core.decision_module.trunk_groups[1].size == 10
             )
         )
-        caller = client(run)
+        caller = connect_client(run)
         caller.send(1, IAM, called_number="15")
         out = peer.isup(IAM)
         peer.reset()
-        peer = desk(port)
+        peer = accept_desk(port)
         assert peer.isup(REL, out.cic).cause == 16
         peer.send(out.cic, RLC)
-        again = peer.isup(IAM)  # the route is as good as before: tried once more, after the pause
+        again = peer.isup(IAM)  # the route is still eligible: tried again after the pause
         assert again.cic != out.cic
         peer.reset()
-        peer = desk(port)
+        peer = accept_desk(port)
         peer.isup(REL, again.cic)
         peer.send(again.cic, RLC)
         peer.send(peer.isup(IAM).cic, REL, cause=34)
@@ -390,19 +408,19 @@
     ("sent", "code"),
     [
         (m3ua.encode(m3ua.Message(MessageType.ASPAC)), ErrorCode.UNEXPECTED_MESSAGE),
-        (m3ua.encode_data(m3ua.ProtocolData(CLIENT, OWN, b"\1\0\x10\0")), ErrorCode.UNEXPECTED_MESSAGE),
+        (m3ua.encode_data(m3ua.ProtocolData(CLIENT_PC, OWN_PC, b"\1\0\x10\0")), ErrorCode.UNEXPECTED_MESSAGE),
         (bytes.fromhex("0100630100000008"), ErrorCode.UNSUPPORTED_CLASS),
         (bytes.fromhex("0200030100000008"), ErrorCode.INVALID_VERSION),
     ],
 )
-def test_errors_before_the_handshake(sent: bytes, code: ErrorCode) -> None:
-    with running(operator=configured()) as run:
-        front: Any = run.core.frontends[0]
-        peer = M3uaPeer(Caller(front.listener.port).sock, CLIENT, OWN)
+def test_protocol_errors_before_the_handshake(sent: bytes, code: ErrorCode) -> None:
+    with running(operator=controller_records()) as run:
+        frontend: Any = run.core.frontends[0]
+        peer = M3uaPeer(Caller(frontend.listener.port).sock, CLIENT_PC, OWN_PC)
         peer.sock.sendall(sent)
         assert peer.wants(MessageType.ERR).uint32(ParameterTag.ERROR_CODE) == code
         if code != ErrorCode.INVALID_VERSION:
-            peer.up()  # the association goes on
+            peer.up()  # the association stays open
         else:
             assert peer.closed()
 
@@ -410,58 +428,61 @@
 @pytest.mark.parametrize(
     ("sent", "message_type"),
     [
-        (m3ua.encode_data(m3ua.ProtocolData(CLIENT, OWN, b"\1")), MessageType.ERR),
-        (m3ua.encode_data(m3ua.ProtocolData(CLIENT, OWN, b"\1\0\x10\0"), routing_context=9), MessageType.ERR),
+        (m3ua.encode_data(m3ua.ProtocolData(CLIENT_PC, OWN_PC, b"\1")), MessageType.ERR),
+        (
+            m3ua.encode_data(m3ua.ProtocolData(CLIENT_PC, OWN_PC, b"\1\0\x10\0"), routing_context=9),
+            MessageType.ERR,
+        ),
         (
-            m3ua.encode_data(m3ua.ProtocolData(CLIENT, OWN, b"\1\0\x10\0", service_indicator=3)),
+            m3ua.encode_data(m3ua.ProtocolData(CLIENT_PC, OWN_PC, b"\1\0\x10\0", service_indicator=3)),
             MessageType.ERR,
         ),
-        (m3ua.encode_data(m3ua.ProtocolData(CLIENT, 999, b"\1\0\x10\0")), MessageType.DUNA),
+        (m3ua.encode_data(m3ua.ProtocolData(CLIENT_PC, 999, b"\1\0\x10\0")), MessageType.DUNA),
         (m3ua.encode(m3ua.Message(MessageType.BEAT)), MessageType.BEAT_ACK),
         (m3ua.encode(m3ua.Message(MessageType.ASPIA)), MessageType.ASPIA_ACK),
         (m3ua.encode(m3ua.Message(MessageType.ASPDN)), MessageType.ASPDN_ACK),
     ],
 )
-def test_management_messages_once_active(sent: bytes, message_type: MessageType) -> None:
-    with both_sides() as (_run, caller, _peer):
+def test_management_messages_on_an_active_association(sent: bytes, message_type: MessageType) -> None:
+    with client_and_desk() as (_run, caller, _peer):
         caller.sock.sendall(sent)
         assert caller.take().message_type == message_type
 
 
-def test_a_client_stalled_in_the_middle_of_a_message_holds_up_no_other() -> None:
-    with both_sides() as (run, stalled, peer):
-        half = stalled.frame(IsupMessage(1, IAM, called_number="15"))
-        stalled.sock.sendall(half[:30])
-        other = client(run)
+def test_client_stalled_within_a_message_does_not_delay_others() -> None:
+    with client_and_desk() as (run, stalled, peer):
+        partial = stalled.frame(IsupMessage(1, IAM, called_number="15"))
+        stalled.sock.sendall(partial[:30])
+        other = connect_client(run)
         other.send(2, IAM, called_number="15")
         peer.send(peer.isup(IAM).cic, ANM)
         other.isup(ANM, 2)
-        stalled.sock.sendall(half[30:])
+        stalled.sock.sendall(partial[30:])
         peer.send(peer.isup(IAM).cic, ANM)
         stalled.isup(ANM, 1)
 
 
-def test_a_silent_peer_is_cut_off_by_missed_heartbeats() -> None:
-    file = configured()
+def test_silent_peer_is_disconnected_after_missed_heartbeats() -> None:
+    file = controller_records()
     with running(operator=replace(file, m3ua=replace(file.m3ua, heartbeat=100_000_000))) as run:
-        peer = client(run)
+        peer = connect_client(run)
         assert peer.wants(MessageType.BEAT).parameters[ParameterTag.HEARTBEAT]
         assert peer.closed()
 
 
-def test_a_reload_takes_up_desk_exchanges_and_numbers_and_leaves_calls_standing() -> None:
+def test_reload_applies_desk_exchanges_and_numbers_and_keeps_calls() -> None:
     ports = [Listening(), Listening()]
-    first, both = behind("d1", ports[0], 1, DESK), behind("d2", ports[1], 2, OTHER)
-    with running(operator=configured(first)) as run:
-        desk = M3uaPeer(ports[0].accept(), DESK, OWN).let_up()
-        caller = client(run)
+    first, both = desk_record("d1", ports[0], 1, DESK_PC), desk_record("d2", ports[1], 2, OTHER_DESK_PC)
+    with running(operator=controller_records(first)) as run:
+        desk = M3uaPeer(ports[0].accept(), DESK_PC, OWN_PC).let_up()
+        caller = connect_client(run)
         run.until(lambda: run.core.decision_module.trunk_groups[1].size > 0)
         caller.send(1, IAM, called_number="11")
         desk.send(desk.isup(IAM).cic, ANM)
         caller.isup(ANM, 1)
         controller = run.controller
-        run.look(lambda: controller.reload(controller.config, configured(first, both)))
-        other = M3uaPeer(ports[1].accept(), OTHER, OWN).let_up()
+        run.look(lambda: controller.reload(controller.config, controller_records(first, both)))
+        other = M3uaPeer(ports[1].accept(), OTHER_DESK_PC, OWN_PC).let_up()
         run.until(
             lambda: (
                 2 in run.core.decision_module.trunk_groups
@@ -471,55 +492,57 @@
         caller.send(2, IAM, called_number="21")
         other.send(other.isup(IAM).cic, ANM)
         caller.isup(ANM, 2)
-        run.look(lambda: controller.reload(controller.config, configured(both)))
-        assert caller.isup(REL).cic == 1  # its exchange is listed no more
+        run.look(lambda: controller.reload(controller.config, controller_records(both)))
+        assert caller.isup(REL).cic == 1  # its exchange is no longer listed
 
 
-def test_peers_that_say_nothing_or_half_a_message_lose_their_places_to_clients(
+def test_silent_and_stalled_peers_are_evicted_in_favour_of_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(m3ua_association, "MESSAGE_TIMEOUT_NS", 600_000_000)
     monkeypatch.setattr(m3ua_frontend, "MAX_CLIENTS", 3)
     port = Listening()
-    with running(operator=configured(behind("m1", port, 1, DESK))) as run:
-        peer, good = desk(port), client(run)
+    with running(operator=controller_records(desk_record("m1", port, 1, DESK_PC))) as run:
+        peer, active_client = accept_desk(port), connect_client(run)
         run.until(
             lambda: (
                 1 in run.core.decision_module.trunk_groups
                 and run.core.decision_module.trunk_groups[1].size > 0
             )
         )
-        front: Any = next(f for f in run.core.frontends if type(f).__name__ == "M3uaFrontend")
-        silent = [Caller(front.listener.port) for _ in range(8)]
-        silent[-1].sock.sendall(b"\1\0\3")
-        assert all(s.closed() for s in silent)
-        good.send(1, IAM, called_number="15")
+        frontend: Any = next(
+            frontend for frontend in run.core.frontends if type(frontend).__name__ == "M3uaFrontend"
+        )
+        silent_connections = [Caller(frontend.listener.port) for _ in range(8)]
+        silent_connections[-1].sock.sendall(b"\1\0\3")
+        assert all(connection.closed() for connection in silent_connections)
+        active_client.send(1, IAM, called_number="15")
         peer.send(peer.isup(IAM).cic, ANM)
-        good.isup(ANM, 1)
-        good.sock.sendall(b"\1\0\3")  # half a message, which BEATs could not end
-        assert good.closed() and run.core.requests  # no association owns a call that stands
+        active_client.isup(ANM, 1)
+        active_client.sock.sendall(b"\1\0\3")  # half a message; BEATs cannot complete it
+        assert active_client.closed() and run.core.requests  # an established call belongs to no association
         peer.sock.sendall(b"\1\0\3")
-        desk(port)
+        accept_desk(port)
 
 
-def test_calls_on_a_peer_that_vanished_are_released_within_the_limit() -> None:
+def test_calls_of_a_vanished_peer_are_released_within_the_limit() -> None:
     port = Listening()
-    with running(operator=configured(behind("m1", port, 1, DESK))) as run:
-        peer, good = desk(port), client(run)
+    with running(operator=controller_records(desk_record("m1", port, 1, DESK_PC))) as run:
+        peer, active_client = accept_desk(port), connect_client(run)
         run.until(
             lambda: (
                 1 in run.core.decision_module.trunk_groups
                 and run.core.decision_module.trunk_groups[1].size > 0
             )
         )
-        good.send(1, IAM, called_number="15")
+        active_client.send(1, IAM, called_number="15")
         peer.send(peer.isup(IAM).cic, ANM)
-        good.isup(ANM, 1)
-        vanished = time.monotonic()
-        port.sock.listen(0)  # a full queue answers no more than a machine that is gone
+        active_client.isup(ANM, 1)
+        vanished_at = time.monotonic()
+        port.sock.listen(0)  # a full accept queue is as silent as a host that is down
         fillers = [socket.socket() for _ in range(4)]
         for filler in fillers:
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", port.port))
-        assert good.isup(REL, 1).cause == 41
-        assert time.monotonic() - vanished < 8.05
+        assert active_client.isup(REL, 1).cause == 41
+        assert time.monotonic() - vanished_at < 8.05
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -166,7 +166,7 @@
     b'{"offset":4,"topology":{"all":true,"targets":'
     b'[{"uid":"u","endpoint":"a:1","pod_group":2,"state":"in_service","boot_ms":3}]}}'
 )
-TOLD = EndpointEntry("u", "a:1", "", 2, "in_service", 3_000_000)
+ENTRY = EndpointEntry("u", "a:1", "", 2, "in_service", 3_000_000)
 
 
 @pytest.mark.parametrize(
@@ -179,7 +179,7 @@
 )
 def test_bus_stream(answer: bytes) -> None:
     (event,) = both_ways(lambda: bus.StreamParser().feed, answer)
-    assert event == bus.BusEvent(4, True, (TOLD,))
+    assert event == bus.BusEvent(4, True, (ENTRY,))
 
 
 @pytest.mark.parametrize(
@@ -193,14 +193,14 @@
         b"HTTP/1.1 200 OK\r\n\r\ndata: " + b"x" * (bus.MAX_EVENT_SIZE + 1),
     ],
 )
-def test_bus_unreadable(answer: bytes) -> None:
+def test_bus_stream_errors(answer: bytes) -> None:
     with pytest.raises(bus.BusError):
         bus.StreamParser().feed(answer)
 
 
-def test_a_bus_entry_that_makes_no_sense_hides_no_other_and_ends_none() -> None:
-    bad = EVENT.replace(b'"targets":[', b'"targets":[{"uid":"w"},7,')
-    assert bus.parse_event(bad.decode()) == bus.BusEvent(4, False, (TOLD,))
+def test_invalid_bus_entry_hides_no_other_and_terminates_none() -> None:
+    with_invalid_entries = EVENT.replace(b'"targets":[', b'"targets":[{"uid":"w"},7,')
+    assert bus.parse_event(with_invalid_entries.decode()) == bus.BusEvent(4, False, (ENTRY,))
 
 
 LABEL = ProtocolData(1, 2, b"\x05\x00\x10\x00", sls=3)
@@ -235,7 +235,7 @@
     follow = m3ua.encode(Message(MessageType.ASPUP))
     found = m3ua.M3uaParser().feed(bytes.fromhex(raw) + follow)
     assert isinstance(found[0], M3uaError) and (found[0].code, found[0].fatal) == (code, fatal)
-    assert len(found) == (1 if fatal else 2)  # the next message is read where its start is known
+    assert len(found) == (1 if fatal else 2)  # after a non-fatal error the next message is parsed
 
 
 @pytest.mark.parametrize(
@@ -265,14 +265,14 @@
         isup.decode(bytes.fromhex(raw))
 
 
-def test_isup_passes_over_what_is_no_basic_call_and_carries_no_half_description() -> None:
+def test_isup_skips_other_message_types_and_rejects_too_long_descriptions() -> None:
     assert isup.decode(bytes.fromhex("010017")) is None
     with pytest.raises(IsupError):
         isup.encode(IsupMessage(1, IsupMessageType.ANM, uui=b"x" * 255))
 
 
 @pytest.mark.parametrize(
-    ("answer", "cause"),
+    ("response", "cause"),
     [
         (FinalResponse(REFUSED), 34),
         (FinalResponse(REFUSED, outcome="turned_away", cause=1), 34),
@@ -285,17 +285,17 @@
         (FinalResponse(FAILED, outcome="turned_away", cause=1), 41),
     ],
 )
-def test_causes_of_answers(answer: FinalResponse, cause: int) -> None:
-    assert causes.release_cause(answer) == cause
+def test_release_causes_of_final_responses(response: FinalResponse, cause: int) -> None:
+    assert causes.release_cause(response) == cause
 
 
-def test_no_cause_tells_a_client_both_refused_and_failed() -> None:
+def test_no_cause_means_both_refused_and_failed() -> None:
     failed = {*causes.FAILED_CAUSES.values(), causes.DEFAULT_FAILED_CAUSE}
     assert failed.isdisjoint(causes.REFUSED_CAUSES.values())
 
 
 @pytest.mark.parametrize(
-    ("cause", "outcome", "number", "stood"),
+    ("cause", "before_answer", "cause_code", "after_answer"),
     [
         (34, "turned_away", 1, "connection_lost"),
         (42, "turned_away", 3, "connection_lost"),
@@ -305,32 +305,44 @@
         (99, "server_error", 0, "connection_lost"),
     ],
 )
-def test_causes_from_desk_exchanges(cause: int, outcome: str, number: int, stood: str) -> None:
-    ended = causes.release_outcome(cause)
-    assert (ended.before_answer, ended.cause, ended.after_answer) == (outcome, number, stood)
+def test_release_outcomes_of_desk_exchanges(
+    cause: int, before_answer: str, cause_code: int, after_answer: str
+) -> None:
+    outcome = causes.release_outcome(cause)
+    assert (outcome.before_answer, outcome.cause, outcome.after_answer) == (
+        before_answer,
+        cause_code,
+        after_answer,
+    )
 
 
-def kv(key: str, value: Any) -> dict[str, str]:
+def key_value(key: str, value: Any) -> dict[str, str]:
     return {
         "key": base64.b64encode(key.encode()).decode(),
         "value": base64.b64encode(orjson.dumps(value)).decode(),
     }
 
 
-ENTRY = {"endpoint": "a:1", "pod_group": 2, "state": "in_service", "boot_ms": 3}
+ENTRY_VALUE = {"endpoint": "a:1", "pod_group": 2, "state": "in_service", "boot_ms": 3}
 
 
 def test_etcd_range_and_watch() -> None:
     body = orjson.dumps(
-        {"header": {"revision": "7"}, "kvs": [kv("/d/u", ENTRY), kv("/d/bad", {"state": "?"})]}
+        {
+            "header": {"revision": "7"},
+            "kvs": [key_value("/d/u", ENTRY_VALUE), key_value("/d/bad", {"state": "?"})],
+        }
     )
-    assert etcd.read_range(body) == etcd.ListUpdate(7, (TOLD,))
-    events = [{"kv": kv("/d/u", ENTRY)}, {"type": "DELETE", "kv": {"key": kv("/d/w", 0)["key"]}}]
+    assert etcd.read_range(body) == etcd.ListUpdate(7, (ENTRY,))
+    events = [
+        {"kv": key_value("/d/u", ENTRY_VALUE)},
+        {"type": "DELETE", "kv": {"key": key_value("/d/w", 0)["key"]}},
+    ]
     line = orjson.dumps({"result": {"header": {"revision": "9"}, "events": events}}) + b"\n"
     created = orjson.dumps({"result": {"header": {"revision": "7"}, "created": True}}) + b"\n"
     found = both_ways(lambda: etcd.WatchParser("/d/").feed, created + line)
     assert found[0] == etcd.ListUpdate(7, ())
-    assert found[1].entries == (TOLD, EndpointEntry("w", "", "", -1, "terminated", 0))
+    assert found[1].entries == (ENTRY, EndpointEntry("w", "", "", -1, "terminated", 0))
 
 
 @pytest.mark.parametrize(
@@ -352,7 +364,7 @@
     assert etcd.range_end(prefix) == end
 
 
-def test_a_slot_used_again_has_another_handle() -> None:
+def test_reused_slot_has_a_new_handle() -> None:
     table: SlotTable[str] = SlotTable()
     first = table.add("a")
     assert table.remove(first) == "a" and table.remove(first) is None
@@ -360,36 +372,33 @@
     assert (table.get(first), table.get(second), len(table), list(table)) == (None, "b", 1, ["b"])
 
 
-def test_deadlines_run_in_order_and_cancelled_ones_do_not() -> None:
-    deadlines, ran = TimerQueue(), list[int]()
-    for when in (30, 10, 20, 10):
-        deadlines.schedule(when, lambda when=when: ran.append(when))  # type: ignore[misc]
-    deadlines.schedule(15, lambda: ran.append(15)).cancel()
+def test_timers_run_in_order_and_cancelled_ones_do_not() -> None:
+    timers, fired = TimerQueue(), list[int]()
+    for due_ns in (30, 10, 20, 10):
+        timers.schedule(due_ns, lambda due_ns=due_ns: fired.append(due_ns))  # type: ignore[misc]
+    timers.schedule(15, lambda: fired.append(15)).cancel()
 
-    def again() -> None:
-        deadlines.schedule(5, lambda: ran.append(5))
+    def schedule_early_timer() -> None:
+        timers.schedule(5, lambda: fired.append(5))
 
-    def fails() -> None:
-        raise RuntimeError("a fault that must not keep the others from running")
+    def failing_callback() -> None:
+        raise RuntimeError("must not keep the other timers from firing")
 
-    deadlines.schedule(5, fails)
-    deadlines.schedule(10, again)  # set while others run: for the next turn, however early it is
-    deadlines.now = 20
-    deadlines.run_due()
-    assert (ran, deadlines.next_due_ns()) == ([10, 10, 20], 5)
+    timers.schedule(5, failing_callback)
+    timers.schedule(10, schedule_early_timer)  # set by a timer: fires in the next iteration, though due
+    timers.now = 20
+    timers.run_due()
+    assert (fired, timers.next_due_ns()) == ([10, 10, 20], 5)
 
 
-def test_the_registry_tells_changes_only_and_each_source_its_own() -> None:
+def test_registry_reports_changes_only_and_snapshots_cover_one_source() -> None:
     registry = EndpointRegistry()
-    other = EndpointEntry("v", "a:2", "", 3, "in_service", 0)
-    assert [d.endpoint_id for d in registry.apply(1, "bus", True, [TOLD])] == [1]
-    assert registry.apply(2, "bus", False, [TOLD]) == []
-    assert [d.endpoint_id for d in registry.apply(3, "etcd", True, [other])] == [2]
-    (gone,) = registry.apply(4, "bus", True, [])
-    assert (gone.endpoint_id, gone.entry.state, gone.entry.exchange, gone.drain_notified_ns) == (
-        1,
-        "terminated",
-        2,
-        4,
-    )
+    other_entry = EndpointEntry("v", "a:2", "", 3, "in_service", 0)
+    assert [endpoint.endpoint_id for endpoint in registry.apply(1, "bus", True, [ENTRY])] == [1]
+    assert registry.apply(2, "bus", False, [ENTRY]) == []
+    assert [endpoint.endpoint_id for endpoint in registry.apply(3, "etcd", True, [other_entry])] == [2]
+    (endpoint,) = registry.apply(4, "bus", True, [])
+    assert (
+        endpoint.endpoint_id, endpoint.entry.state, endpoint.entry.exchange, endpoint.drain_notified_ns,
+    ) == (1, "terminated", 2, 4)  # fmt: skip
     assert registry.apply(5, "bus", False, [EndpointEntry("never", "", "", -1, "terminated", 0)]) == []
