--- a/arrowrail/wire/bus/client.py
+++ b/arrowrail/wire/bus/client.py
@@ -86,7 +86,7 @@
         for event in events:
             if event.offset > self.last_offset + 1 and self.gap_retried_after != self.last_offset:
                 # Reads again from the last event, so that no event is lost in a gap. Events that are missing
-                # the second time too are not available; the stream is then read on behind the gap.
+                # the second time too are not available; reading continues after the gap.
                 logger.warning("event bus: gap between events {} and {}", self.last_offset, event.offset)
                 self.gap_retried_after = self.last_offset
                 self._disconnect(None)
--- a/arrowrail/wire/m3ua/backend.py
+++ b/arrowrail/wire/m3ua/backend.py
@@ -101,9 +101,8 @@
             if not_transmitted:
                 self._free_circuits(call)
             else:
-                call.clearing = (
-                    True  # the peer may have received it: keep its circuits until the peer confirms a release
-                )
+                # The peer may have received the IAM: its circuits stay occupied until it confirms a release.
+                call.clearing = True
             outcome = "no_connection" if not_transmitted else "connection_lost"
             self.backend.core.attempt_failed(
                 self.endpoint, call.call_id, outcome, 0 if never_connected else CAUSE_CONNECTION_FAILED
