--- a/arrowrail/__init__.py
+++ b/arrowrail/__init__.py
@@ -1,1 +1,1 @@
-"""The real call controller: sockets, state and process around the decisions of ``trackhatch``."""
+"""The call controller as a process: sockets, state and signalling around the decisions of ``trackhatch``."""
--- a/arrowrail/__main__.py
+++ b/arrowrail/__main__.py
@@ -1,12 +1,12 @@
-"""``python -m arrowrail``: one call controller."""
+"""``python -m arrowrail``: runs a call controller, or a sub-command."""
 
 import sys
 
 if len(sys.argv) > 1 and sys.argv[1] != "--config" and sys.argv[1] not in ("-h", "--help"):
-    # Imported only where a sub-command is named: the platform's controllers pay nothing for it.
-    from arrowrail.cli import main as command_line
+    # Imported only for a sub-command: a controller that the platform starts does not load the command line.
+    from arrowrail.cli import main as run_command
 
-    sys.exit(command_line())
+    sys.exit(run_command())
 
 from arrowrail.run.main import main
 
--- a/arrowrail/run/__init__.py
+++ b/arrowrail/run/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, the loop, signals and logging."""
+"""Start-up, event loop, reload and shutdown of a call controller."""
--- a/arrowrail/run/config.py
+++ b/arrowrail/run/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a controller at its start."""
+"""The configuration that the platform passes to a controller, as a JSON file."""
 
 from __future__ import annotations
 
@@ -16,36 +16,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """Configuration of one call controller."""
+
     name: str
-    listen: str
+    listen_address: str  # host:port for SIP; empty: no listener
     seed: int
-    sockets: int
-    bus: str
-    known: tuple[BusEvent, ...]
-    offset: int
+    max_sockets: int  # file descriptors that sockets may use
+    bus_address: str  # host:port of the event bus; empty: not used
+    initial_events: tuple[BusEvent, ...]  # the exchange list at the start
+    initial_offset: int  # event bus offset up to which the list is known
     settings: Settings
     connect_timeout_ns: int
 
 
-def load(path: str, listen: str = "") -> Config:
-    """Read the platform's JSON; ``ValueError`` names what is missing or wrong."""
+def load(path: str, listen_address: str = "") -> Config:
+    """Read the JSON file; ``ValueError`` names the missing or invalid field."""
     raw: dict[str, Any] = orjson.loads(Path(path).read_bytes())
     try:
         known, limits = raw.get("known") or {}, raw["settings"].get("policy-limits", {})
         return Config(
             name=str(raw.get("name", "")),
-            listen=listen or str(raw["listen"]),
+            listen_address=listen_address or str(raw["listen"]),
             seed=int(str(raw.get("seed", "0")), 16),
-            sockets=int((raw.get("limits") or {}).get("sockets", 1024)),
-            bus=str(raw.get("bus", "")),
-            known=tuple(event_from_json(e) for e in known.get("batch") or ()),
-            offset=int(known.get("offset", 0)),
+            max_sockets=int((raw.get("limits") or {}).get("sockets", 1024)),
+            bus_address=str(raw.get("bus", "")),
+            initial_events=tuple(event_from_json(e) for e in known.get("batch") or ()),
+            initial_offset=int(known.get("offset", 0)),
             settings=read_settings(raw["settings"]),
             connect_timeout_ns=int(limits.get("connect-timeout-ns", 500_000_000)),
         )
-    except (KeyError, TypeError, AttributeError) as wrong:
-        raise ValueError(f"{path}: {wrong!r}") from wrong
+    except (KeyError, TypeError, AttributeError) as error:
+        raise ValueError(f"{path}: {error!r}") from error
 
 
 def from_environment() -> Config:
+    """Read the file named by ``PROXY_CONFIG``; ``PROXY_LISTEN`` overrides its listener address."""
     return load(os.environ["PROXY_CONFIG"], os.environ.get("PROXY_LISTEN", ""))
--- a/arrowrail/run/log.py
+++ b/arrowrail/run/log.py
@@ -1,4 +1,4 @@
-"""Where logs go: standard error, as lines of text or one JSON object for each event."""
+"""Logging to standard error, as lines of text or as one JSON object per event."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 TEXT, JSON = "text", "json"
 
 
-def configure_logging(level: str, form: str = TEXT) -> None:
-    """Log from that level on, in one of the two forms."""
+def configure_logging(level: str, log_format: str = TEXT) -> None:
+    """Log events of the given level and above, as ``TEXT`` or ``JSON``."""
     logger.remove()
     enable_call_events(logger.level(level).no <= logger.level(CALL_LOG_LEVEL).no)
-    if form == JSON:
-        logger.add(_json, level=level, backtrace=False, diagnose=False, format="{message}")
+    if log_format == JSON:
+        logger.add(_write_json, level=level, backtrace=False, diagnose=False, format="{message}")
     else:
         logger.add(sys.stderr, level=level, backtrace=False, diagnose=False)
 
 
-def _json(message: Message) -> None:
+def _write_json(message: Message) -> None:
     record = message.record
-    line: dict[str, Any] = {
+    entry: dict[str, Any] = {
         "time": record["time"].isoformat(), "level": record["level"].name, "event": "log",
         "message": record["message"],
     }  # fmt: skip
-    line |= record["extra"]
+    entry |= record["extra"]
     if record["exception"] is not None:
-        line["exception"] = repr(record["exception"].value)
-    sys.stderr.buffer.write(orjson.dumps(line, default=str) + b"\n")
+        entry["exception"] = repr(record["exception"].value)
+    sys.stderr.buffer.write(orjson.dumps(entry, default=str) + b"\n")
     sys.stderr.buffer.flush()
--- a/arrowrail/run/optional_components.py
+++ b/arrowrail/run/optional_components.py
@@ -1,4 +1,4 @@
-"""What an operator's file turns on: the M3UA-style front and back, and the list in etcd."""
+"""Components enabled by the operator's file: M3UA-style signalling, and the exchange list in etcd."""
 
 from __future__ import annotations
 
@@ -15,65 +15,73 @@
 from arrowrail.wire.m3ua.frontend import M3uaFrontend
 from arrowrail.wire.m3ua.mappings import ClassMapping, PrefixMapping
 
-SOURCE = "operator"
+OPERATOR_SOURCE = "operator"
 
 
 class OptionalComponents:
-    """The parts that an operator's file turned on."""
+    """Creates the enabled components and applies reloads to them."""
 
-    def __init__(self, loop: Loop, core: Core, config: Config, operator: Controller) -> None:
-        self.core, self.config, self.operator = core, config, operator
-        m = operator.m3ua
+    def __init__(self, loop: Loop, core: Core, config: Config, operator_config: Controller) -> None:
+        self.core, self.config, self.operator_config = core, config, operator_config
+        m3ua = operator_config.m3ua
         self.frontend: M3uaFrontend | None = None
         self.etcd: EtcdClient | None = None
-        if m.enabled:
-            settings = M3uaSettings(m.point_code, m.routing_context, m.network_appearance, m.heartbeat)
-            self.back = M3uaBackend(
-                loop, core, settings, self._classes(m), m.circuits, config.connect_timeout_ns
+        if m3ua.enabled:
+            settings = M3uaSettings(
+                m3ua.point_code, m3ua.routing_context, m3ua.network_appearance, m3ua.heartbeat
+            )
+            self.backend = M3uaBackend(
+                loop, core, settings, self._class_mappings(m3ua), m3ua.circuits, config.connect_timeout_ns
+            )
+            core.update_endpoints(OPERATOR_SOURCE, True, _endpoint_entries(m3ua))
+            self.frontend = M3uaFrontend(
+                loop, core, m3ua.listen, settings, self._class_mappings(m3ua), _prefix_mappings(m3ua)
             )
-            core.update_endpoints(SOURCE, True, _desks(m))
-            self.frontend = M3uaFrontend(loop, core, m.listen, settings, self._classes(m), _numbers(m))
             self.frontend.start()
-        if operator.etcd.enabled:
-            self.etcd = EtcdClient(loop, core, operator.etcd.address, operator.etcd.prefix)
+        if operator_config.etcd.enabled:
+            self.etcd = EtcdClient(loop, core, operator_config.etcd.address, operator_config.etcd.prefix)
             self.etcd.start()
 
-    def reload(self, operator: Controller) -> None:
-        """Take up desk exchanges, numbers, classes and etcd's address; new calls see them, old ones don't.
+    def reload(self, operator_config: Controller) -> None:
+        """Apply the desk exchanges, numbers, classes and etcd address; calls in progress are unaffected.
 
-        Who listens where, and under which point code, is agreed with the peers: that needs a restart.
+        Listener addresses and point codes are agreed with the peers, so changing them requires a restart.
         """
-        if self.frontend is not None and operator.m3ua.enabled:
-            self.core.update_endpoints(SOURCE, True, _desks(operator.m3ua))
-            self.back.update_mappings(self._classes(operator.m3ua))
-            self.frontend.update_mappings(self._classes(operator.m3ua), _numbers(operator.m3ua))
-        if self.etcd is not None and operator.etcd.enabled:
-            self.etcd.change_source(operator.etcd.address, operator.etcd.prefix)
-        if _fixed(operator) != _fixed(self.operator):
-            logger.warning("reload: a changed listen, point code or switch needs a restart")
-        self.operator = operator
-
-    def _classes(self, m: ControllerM3ua) -> tuple[ClassMapping, ...]:
+        if self.frontend is not None and operator_config.m3ua.enabled:
+            self.core.update_endpoints(OPERATOR_SOURCE, True, _endpoint_entries(operator_config.m3ua))
+            self.backend.update_mappings(self._class_mappings(operator_config.m3ua))
+            self.frontend.update_mappings(
+                self._class_mappings(operator_config.m3ua), _prefix_mappings(operator_config.m3ua)
+            )
+        if self.etcd is not None and operator_config.etcd.enabled:
+            self.etcd.change_source(operator_config.etcd.address, operator_config.etcd.prefix)
+        if _restart_settings(operator_config) != _restart_settings(self.operator_config):
+            logger.warning("reload: changed listeners, M3UA parameters and enabled switches need a restart")
+        self.operator_config = operator_config
+
+    def _class_mappings(self, m3ua: ControllerM3ua) -> tuple[ClassMapping, ...]:
         widths = {c.name: c.width for c in self.config.settings.classes}
         return tuple(
-            ClassMapping(c.class_, c.deadline, widths[c.class_], c.category, c.requirement) for c in m.classes
+            ClassMapping(c.class_, c.deadline, widths[c.class_], c.category, c.requirement)
+            for c in m3ua.classes
         )
 
 
-def _fixed(o: Controller) -> tuple[object, ...]:
-    m = o.m3ua
+def _restart_settings(operator_config: Controller) -> tuple[object, ...]:
+    """The settings that take effect only at a restart."""
+    m3ua = operator_config.m3ua
     return (
-        m.enabled, m.listen, m.point_code, m.routing_context, m.network_appearance, m.heartbeat,
-        m.circuits, o.etcd.enabled,
+        m3ua.enabled, m3ua.listen, m3ua.point_code, m3ua.routing_context, m3ua.network_appearance,
+        m3ua.heartbeat, m3ua.circuits, operator_config.etcd.enabled,
     )  # fmt: skip
 
 
-def _desks(m: ControllerM3ua) -> list[EndpointEntry]:
+def _endpoint_entries(m3ua: ControllerM3ua) -> list[EndpointEntry]:
     return [
         EndpointEntry(d.uid, d.address, d.zone, d.exchange, IN_SERVICE, 0, "m3ua", d.point_code, d.circuits)
-        for d in m.desks
+        for d in m3ua.desks
     ]
 
 
-def _numbers(m: ControllerM3ua) -> tuple[PrefixMapping, ...]:
-    return tuple(PrefixMapping(n.prefix, n.exchange) for n in m.numbers)
+def _prefix_mappings(m3ua: ControllerM3ua) -> tuple[PrefixMapping, ...]:
+    return tuple(PrefixMapping(n.prefix, n.exchange) for n in m3ua.numbers)
--- a/arrowrail/run/read_result.py
+++ b/arrowrail/run/read_result.py
@@ -1,4 +1,4 @@
-"""What a reading of the operator's records came to."""
+"""The result of reading the operator's records, passed from the reader process to the serving process."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """What the records mean, or why they can't take effect."""
+    """The configuration read, or the faults because of which it is rejected."""
 
-    value: Any | None
-    faults: tuple[str, ...] = ()
-    codes: tuple[str, ...] = ()
+    value: Any | None  # None: the records are invalid or could not be read
+    faults: tuple[str, ...] = ()  # as shown to the operator
+    codes: tuple[str, ...] = ()  # the code of each fault
--- a/arrowrail/run/reader.py
+++ b/arrowrail/run/reader.py
@@ -1,8 +1,9 @@
-"""Reads and checks the operator's records in a process of its own, and hands over what they mean.
+"""Reads and checks the operator's records in a separate process, and returns the resulting configuration.
 
-The grammar, the schema and the rules stay out of the serving process: its memory stays that of a plain
-controller, and a check of a large inventory takes none of its turns.  Started by ``reading.py`` only; the
-result goes to standard output as a pickle, read back by nobody but the process that asked.
+The serving process thus does not load the grammar, the schema and the rules: it needs no more memory than
+without records, and the check of a large inventory does not block its event loop.  Only
+``reader_process.py`` starts this module; the result is written to standard output as a pickle, which only
+the parent process reads.
 """
 
 from __future__ import annotations
@@ -17,48 +18,49 @@
 
 from arrowrail.run.read_result import ReadResult
 
-SETTLED_S = 0.15  # a file changed more lately may still be in the making
-LONGEST_WAIT_S = 3.0  # for a folder that does not come to rest
-MOST_LINES = 40  # faults that are handed over
+STABLE_AGE_S = 0.15  # a file changed more recently may still be being written
+MAX_WAIT_S = 3.0  # for a folder whose files keep changing
+MAX_FAULTS = 40  # faults in a result
 
 
-def signature(path: Path) -> tuple[tuple[str, int, int, int], ...]:
-    """What tells whether any record file below changed: names, times, sizes and inodes."""
-    found = []
+def file_states(path: Path) -> tuple[tuple[str, int, int, int], ...]:
+    """Return the name, time, size and inode of each record file below, to detect changes."""
+    states = []
     for base, folders, files in os.walk(path if path.is_dir() else path.parent):
         folders[:] = [f for f in folders if not f.startswith(".")]
         for name in files:
             if name.endswith(".rail"):
-                full = os.path.join(base, name)
+                full_path = os.path.join(base, name)
                 try:
-                    s = os.stat(full)
+                    status = os.stat(full_path)
                 except OSError:
                     continue
-                found.append((full, s.st_mtime_ns, s.st_size, s.st_ino))
-    return tuple(sorted(found))
+                states.append((full_path, status.st_mtime_ns, status.st_size, status.st_ino))
+    return tuple(sorted(states))
 
 
 def read_when_stable(path: Path, check: Callable[[], ReadResult]) -> ReadResult:
-    """Check once the files have come to rest: one half written is not taken for a whole one."""
-    end = time.monotonic() + LONGEST_WAIT_S
+    """Check the files once they have stopped changing, so that no partially written file is read."""
+    deadline = time.monotonic() + MAX_WAIT_S
     while True:
-        before = signature(path)
-        youngest = max((at for _, at, _, _ in before), default=0)
-        age = (time.time_ns() - youngest) / 1e9
-        if 0 <= age < SETTLED_S and time.monotonic() < end:
-            time.sleep(max(0.01, SETTLED_S - age))
+        before = file_states(path)
+        last_change_ns = max((changed_ns for _, changed_ns, _, _ in before), default=0)
+        age_s = (time.time_ns() - last_change_ns) / 1e9
+        if 0 <= age_s < STABLE_AGE_S and time.monotonic() < deadline:
+            time.sleep(max(0.01, STABLE_AGE_S - age_s))
             continue
         result = check()
-        if signature(path) == before or time.monotonic() >= end:
+        if file_states(path) == before or time.monotonic() >= deadline:
             return result
 
 
-def _faulty(faults: list[Any]) -> ReadResult:
-    most = faults[:MOST_LINES]
-    return ReadResult(None, tuple(str(f) for f in most), tuple(f.code for f in most))
+def _rejected(faults: list[Any]) -> ReadResult:
+    reported = faults[:MAX_FAULTS]
+    return ReadResult(None, tuple(str(f) for f in reported), tuple(f.code for f in reported))
 
 
 def read_sidecar(folder: Path, name: str, numbers: dict[str, int]) -> ReadResult:
+    """Read the records of an application; ``numbers`` are the exchange numbers already in use."""
     from arrowrail.config.checker import check_application, faults_of_application
     from arrowrail.config.diagnostics import Diagnostic, Location, quote, suggestion
     from arrowrail.sidecar.config import build_config
@@ -67,29 +69,30 @@
         checked = check_application(folder, name)
         faults = faults_of_application(checked, name)
         if not faults and name not in checked.applications:
-            wrong = f"{quote(name)}; {suggestion(name, checked.applications)}"
-            faults = [Diagnostic("AR321", Location(str(folder)), "", wrong)]
+            message = f"{quote(name)}; {suggestion(name, checked.applications)}"
+            faults = [Diagnostic("AR321", Location(str(folder)), "", message)]
         if faults:
-            return _faulty(faults)
+            return _rejected(faults)
         return ReadResult(build_config(checked.applications[name], checked.inventories[name], numbers))
 
     return read_when_stable(folder, read)
 
 
 def read_controller(path: Path, class_names: list[str]) -> ReadResult:
+    """Read the operator's file of a controller that the platform starts."""
     from arrowrail.config.controller_file import read_controller_file
 
     def read() -> ReadResult:
-        found, faults = read_controller_file(path, class_names)
-        return _faulty(list(faults)) if found is None else ReadResult(found)
+        records, faults = read_controller_file(path, class_names)
+        return _rejected(list(faults)) if records is None else ReadResult(records)
 
     return read_when_stable(path, read)
 
 
 def main() -> int:
-    asked = pickle.loads(sys.stdin.buffer.read())
-    kinds: dict[str, Callable[..., ReadResult]] = {"sidecar": read_sidecar, "controller": read_controller}
-    sys.stdout.buffer.write(pickle.dumps(kinds[asked[0]](*asked[1:])))
+    request = pickle.loads(sys.stdin.buffer.read())
+    readers: dict[str, Callable[..., ReadResult]] = {"sidecar": read_sidecar, "controller": read_controller}
+    sys.stdout.buffer.write(pickle.dumps(readers[request[0]](*request[1:])))
     return 0
 
 
--- a/arrowrail/run/reader_process.py
+++ b/arrowrail/run/reader_process.py
@@ -1,4 +1,4 @@
-"""The serving side of the reader: starts it, waits for it on the loop, and takes its result."""
+"""Starts the reader process and receives its result, without blocking the event loop on a reload."""
 
 from __future__ import annotations
 
@@ -12,84 +12,89 @@
 from arrowrail.run.read_result import ReadResult
 from arrowrail.state.timers import Timer
 
-LONGEST_S = 60
-MAX_RESULT = 64 << 20  # bytes of a result: an inventory of 10,000 exchanges is a tenth of it
-CHUNK = 256 * 1024
-Asked = tuple[Any, ...]  # the reader's kind and its arguments
-Done = Callable[[ReadResult], None]
+TIMEOUT_S = 60
+MAX_RESULT_SIZE = 64 << 20  # bytes; an inventory of 10,000 exchanges takes a tenth of it
+CHUNK_SIZE = 256 * 1024
+ReadRequest = tuple[Any, ...]  # the kind of records ("sidecar" or "controller") and the reader's arguments
+ResultCallback = Callable[[ReadResult], None]
 
 
-def _start(asked: Asked) -> subprocess.Popen[bytes]:
+def _start(request: ReadRequest) -> subprocess.Popen[bytes]:
     child = subprocess.Popen(
         [sys.executable, "-m", "arrowrail.run.reader"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
     )
     assert child.stdin is not None
-    child.stdin.write(pickle.dumps(asked))  # some kilobytes: the pipe holds them
+    child.stdin.write(pickle.dumps(request))  # a few kilobytes, which the pipe's buffer holds
     child.stdin.close()
     return child
 
 
-def read_and_wait(*asked: Any) -> ReadResult:
-    """At the start, before anything is served: wait for it."""
-    child = _start(asked)
+def read_and_wait(*request: Any) -> ReadResult:
+    """Read and wait for the result; only for the start, when nothing is served yet."""
+    child = _start(request)
     assert child.stdout is not None
     with child.stdout:
-        data = child.stdout.read(MAX_RESULT)
+        data = child.stdout.read(MAX_RESULT_SIZE)
     try:
-        return _result(data, child.wait(LONGEST_S))
+        return _result(data, child.wait(TIMEOUT_S))
     except subprocess.TimeoutExpired:
         child.kill()
         child.wait()
-        return ReadResult(None, (f"not read within {LONGEST_S} s",))
+        return ReadResult(None, (f"the reader process did not finish within {TIMEOUT_S} s",))
 
 
-def _result(data: bytes, code: int | None) -> ReadResult:
-    if code != 0 or not data:
-        return ReadResult(None, (f"the reader ended with {code}",))
+def _result(data: bytes, exit_code: int | None) -> ReadResult:
+    if exit_code != 0 or not data:
+        return ReadResult(None, (f"the reader process failed with exit code {exit_code}",))
     result = pickle.loads(data)
-    return result if isinstance(result, ReadResult) else ReadResult(None, ("the reader brought no result",))
+    return (
+        result
+        if isinstance(result, ReadResult)
+        else ReadResult(None, ("the reader process returned no result",))
+    )
 
 
 class ReaderProcess:
-    """One reading under way at most; asked again meanwhile, it begins anew once that one has ended."""
+    """Runs one reader process at a time; a request made meanwhile is started when that one has ended."""
 
-    def __init__(self, loop: Loop, done: Done) -> None:
-        self.loop, self.done = loop, done
+    def __init__(self, loop: Loop, on_result: ResultCallback) -> None:
+        self.loop, self.on_result = loop, on_result
         self._child: subprocess.Popen[bytes] | None = None
         self._data = bytearray()
-        self._late: Timer | None = None
-        self._again: Asked | None = None
+        self._timeout_timer: Timer | None = None
+        self._pending_request: ReadRequest | None = None  # the latest request made meanwhile
 
     @property
     def busy(self) -> bool:
         return self._child is not None
 
-    def request(self, *asked: Any) -> None:
+    def request(self, *request: Any) -> None:
         if self._child is not None:
-            # What is being read may be older than the file that this signal speaks of.
-            self._again = asked
+            # The process that runs may have read the files before the change that led to this request.
+            self._pending_request = request
             return
         try:
-            child = self._child = _start(asked)
-        except OSError as why:  # no descriptor or no memory for a process
-            self.done(ReadResult(None, (f"the reader can't be started: {why.strerror}",)))
+            child = self._child = _start(request)
+        except OSError as error:  # no file descriptor or no memory for a process
+            self.on_result(ReadResult(None, (f"the reader process can't be started: {error.strerror}",)))
             return
         assert child.stdout is not None
         self._data = bytearray()
-        self.loop.watch(child.stdout, READ, self._ready)
-        self._late = self.loop.timers.schedule(self.loop.now + LONGEST_S * 10**9, self._too_late)
+        self.loop.watch(child.stdout, READ, self._readable)
+        self._timeout_timer = self.loop.timers.schedule(self.loop.now + TIMEOUT_S * 10**9, self._timed_out)
 
-    def _ready(self, _mask: int) -> None:
+    def _readable(self, _mask: int) -> None:
         child = self._child
         if child is None or child.stdout is None:
             return
-        data = child.stdout.read1(CHUNK)  # type: ignore[attr-defined]
-        if data and len(self._data) + len(data) <= MAX_RESULT:
+        data = child.stdout.read1(CHUNK_SIZE)  # type: ignore[attr-defined]
+        if data and len(self._data) + len(data) <= MAX_RESULT_SIZE:
             self._data += data
             return
-        self._end(_result(bytes(self._data), self._reap()))
+        self._finish(_result(bytes(self._data), self._reap()))
 
     def _reap(self) -> int | None:
+        """Wait for the process to exit, or kill it; return its exit code."""
         child = self._child
         if child is None:
             return None
@@ -97,28 +102,29 @@
             self.loop.unwatch(child.stdout)
             child.stdout.close()
         try:
-            return child.wait(0.5)  # it has closed its output: nothing is left to do in it
+            return child.wait(0.5)  # its output is closed, so it is about to exit
         except subprocess.TimeoutExpired:
             child.kill()
             return child.wait()
 
-    def _too_late(self) -> None:
+    def _timed_out(self) -> None:
         if self._child is not None:
             self._child.kill()
             self._reap()
-            self._end(ReadResult(None, (f"not read within {LONGEST_S} s",)))
+            self._finish(ReadResult(None, (f"the reader process did not finish within {TIMEOUT_S} s",)))
 
-    def _end(self, result: ReadResult) -> None:
+    def _finish(self, result: ReadResult) -> None:
         self._child = None
-        if self._late is not None:
-            self._late.cancel()
-        again, self._again = self._again, None
-        if again is not None:
-            self.request(*again)  # only the latest counts
+        if self._timeout_timer is not None:
+            self._timeout_timer.cancel()
+        pending, self._pending_request = self._pending_request, None
+        if pending is not None:
+            self.request(*pending)  # this result may be outdated: only the latest request counts
         else:
-            self.done(result)
+            self.on_result(result)
 
     def close(self) -> None:
+        """Kill the process that runs, if any, without a result."""
         if self._child is not None:
             self._child.kill()
             self._reap()
--- a/arrowrail/run/signals.py
+++ b/arrowrail/run/signals.py
@@ -1,4 +1,4 @@
-"""Signals as bytes on a socket, so that the loop sees them like everything else."""
+"""Delivers signals to the event loop, as bytes on a socket pair (``signal.set_wakeup_fd``)."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 from arrowrail.loop import READ, Loop
 
-STOP = (signal.SIGTERM, signal.SIGINT)
-RELOAD = signal.SIGHUP  # its default would end the process and every call in it
+SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+RELOAD_SIGNAL = signal.SIGHUP  # its default action would terminate the process and all its calls
 
 
-def handle_signals(loop: Loop, stop: Callable[[int], None], reload: Callable[[], None]) -> None:
-    """Call them from the loop, never from inside a signal handler."""
-    inside, outside = socket.socketpair()
-    for end in (inside, outside):
-        end.setblocking(False)
+def handle_signals(loop: Loop, on_shutdown: Callable[[int], None], on_reload: Callable[[], None]) -> None:
+    """Call the callbacks from the event loop instead of from a signal handler."""
+    receiver, sender = socket.socketpair()
+    for sock in (receiver, sender):
+        sock.setblocking(False)
 
-    def ready(_mask: int) -> None:
-        for number in inside.recv(64):
-            if number == RELOAD:
-                reload()
-            elif number in STOP:
-                stop(number)
+    def readable(_mask: int) -> None:
+        for number in receiver.recv(64):
+            if number == RELOAD_SIGNAL:
+                on_reload()
+            elif number in SHUTDOWN_SIGNALS:
+                on_shutdown(number)
 
-    loop.watch(inside, READ, ready)
-    signal.set_wakeup_fd(outside.detach(), warn_on_full_buffer=False)
-    for number in (*STOP, RELOAD):
+    loop.watch(receiver, READ, readable)
+    signal.set_wakeup_fd(sender.detach(), warn_on_full_buffer=False)
+    for number in (*SHUTDOWN_SIGNALS, RELOAD_SIGNAL):
         signal.signal(number, lambda *_: None)
--- a/arrowrail/sidecar/main.py
+++ b/arrowrail/sidecar/main.py
@@ -84,7 +84,7 @@
     def run(self) -> None:
         from arrowrail.run.signals import handle_signals
 
-        handle_signals(self.controller.loop, self.controller.stop, self.reload)
+        handle_signals(self.controller.loop, self.controller.begin_shutdown, self.reload)
         self.start()
         while not self.controller.is_finished():
             self._turn()
