--- a/arrowrail/sidecar/__init__.py
+++ b/arrowrail/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""A controller beside one application, started from the operator's records alone."""
+"""The sidecar: a call controller for one application, configured by the operator's records alone."""
--- a/arrowrail/sidecar/__main__.py
+++ b/arrowrail/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""The sidecar's process, without the command line's libraries: ``python -m arrowrail sidecar`` becomes it."""
+"""Run a sidecar without the libraries of the command line; ``python -m arrowrail sidecar`` executes this."""
 
 import argparse
 import sys
@@ -10,5 +10,5 @@
 parser.add_argument("application")
 parser.add_argument("--config", type=Path, required=True)
 parser.add_argument("--log-form", choices=("text", "json"))
-given = parser.parse_args()
-sys.exit(main(given.application, given.config, given.log_form))
+arguments = parser.parse_args()
+sys.exit(main(arguments.application, arguments.config, arguments.log_form))
--- a/arrowrail/sidecar/exchange_list.py
+++ b/arrowrail/sidecar/exchange_list.py
@@ -1,9 +1,9 @@
-"""The exchanges as the sidecar holds them: the inventory, and what another source tells of them.  No I/O.
+"""The sidecar's list of exchanges, merged from the inventory and a source of list updates.  No I/O.
 
-The inventory says which exchanges there are; a source of the list (event bus or etcd) says what became of
-them.  Of two states the one that lets less through wins, so that neither a lagging source nor a stale file
-sends calls where the other knows better.  An exchange that leaves the inventory drains: its calls go on, it
-gets nothing new, and it is forgotten once nothing stands there.
+The inventory defines which exchanges exist; a source of updates (event bus or etcd) reports their states.
+If the two differ, the more restrictive state applies, so that neither a lagging source nor an outdated file
+sends calls to an exchange that the other one excludes.  An exchange that is removed from the inventory
+drains: its calls go on, it gets no new ones, and its entry is terminated once it has no calls.
 """
 
 from __future__ import annotations
@@ -14,86 +14,92 @@
 from arrowrail.sidecar.config import ExchangeConfig
 from arrowrail.state.endpoints import IN_SERVICE, TERMINATED, TERMINATING, EndpointEntry
 
-RANKS = {IN_SERVICE: 0, TERMINATING: 1, TERMINATED: 2}
+RESTRICTIVENESS = {IN_SERVICE: 0, TERMINATING: 1, TERMINATED: 2}
 SIDECAR_SOURCE = "site"
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """What a source last told of an exchange."""
+class ReportedState:
+    """The last report of a source about an exchange."""
 
     state: str
     address: str
-    since_ns: int
+    started_ns: int  # Unix time of its last start; 0: unknown
 
 
 def uid_of(name: str, address: str) -> str:
-    """A machine at another address is another exchange: late news of the old one must not reach it."""
+    """Return the uid of an exchange at an address.
+
+    A new address makes a new uid, so that late updates about the old one do not apply to it.
+    """
     return f"{name}@{address}"
 
 
 class ExchangeList:
+    """Merges the inventory with the updates of a source; each change is returned as a list of entries."""
+
     def __init__(self) -> None:
-        self._lines: dict[str, ExchangeConfig] = {}
-        self._heard: dict[str, Heard] = {}
-        self._shown: dict[str, EndpointEntry] = {}  # by uid, as it was told last
-        self._removed: dict[str, EndpointEntry] = {}  # by uid: no longer named, and not yet empty
-        self.unknown_count = 0  # lines of a source that name no exchange of the inventory
-
-    def update_config(self, lines: Iterable[ExchangeConfig]) -> list[EndpointEntry]:
-        """The inventory, at the start and after a reload; returns the news of it."""
-        self._lines = {line.name: line for line in lines}
-        return self._news()
-
-    def apply_update(self, whole: bool, lines: Iterable[EndpointEntry]) -> list[EndpointEntry]:
-        """News of a source; exchanges absent from a whole list drain."""
-        named = set()
-        for told in lines:
-            name = told.uid.partition("@")[0]
-            named.add(name)
-            if name not in self._lines:
+        self._exchanges: dict[str, ExchangeConfig] = {}
+        self._reported: dict[str, ReportedState] = {}
+        self._published: dict[str, EndpointEntry] = {}  # by uid, as last returned to the caller
+        self._removed: dict[str, EndpointEntry] = {}  # by uid: not in the list any more, still draining
+        self.unknown_count = 0  # entries of a source for exchanges that are not in the inventory
+
+    def update_config(self, exchanges: Iterable[ExchangeConfig]) -> list[EndpointEntry]:
+        """Apply the inventory, at the start and on a reload; return the changed entries."""
+        self._exchanges = {exchange.name: exchange for exchange in exchanges}
+        return self._changes()
+
+    def apply_update(self, snapshot: bool, entries: Iterable[EndpointEntry]) -> list[EndpointEntry]:
+        """Apply an update of a source, return the changed entries; exchanges absent from a snapshot drain."""
+        listed_names = set()
+        for entry in entries:
+            name = entry.uid.partition("@")[0]
+            listed_names.add(name)
+            if name not in self._exchanges:
                 self.unknown_count += 1
                 continue
-            known = self._heard.get(name)
-            address = told.address or (known.address if known is not None else "")
-            self._heard[name] = Heard(told.state, address, told.started_ns)
-        if whole:
-            for name in self._lines:
-                if name not in named:
-                    self._heard[name] = Heard(TERMINATING, "", 0)
-        return self._news()
+            previous = self._reported.get(name)
+            address = entry.address or (previous.address if previous is not None else "")
+            self._reported[name] = ReportedState(entry.state, address, entry.started_ns)
+        if snapshot:
+            for name in self._exchanges:
+                if name not in listed_names:
+                    self._reported[name] = ReportedState(TERMINATING, "", 0)
+        return self._changes()
 
     def remove_drained(self, uids: Iterable[str]) -> list[EndpointEntry]:
-        """Of those that leave, the ones at which nothing stands any more: gone."""
-        over = [self._removed.pop(uid) for uid in uids if uid in self._removed]
-        return [replace(told, state=TERMINATED) for told in over]
+        """Terminate removed exchanges that have no calls left; return their entries."""
+        drained = [self._removed.pop(uid) for uid in uids if uid in self._removed]
+        return [replace(entry, state=TERMINATED) for entry in drained]
 
     @property
     def removed(self) -> Mapping[str, EndpointEntry]:
+        """The entries, by uid, that are not in the list any more and still drain."""
         return self._removed
 
-    def _news(self) -> list[EndpointEntry]:
-        now = {told.uid: told for told in map(self._told, self._lines.values())}
-        news: list[EndpointEntry] = []
-        for uid, told in self._shown.items():
-            if uid not in now and told.state != TERMINATED:
-                self._removed[uid] = replace(told, state=TERMINATING)
-                news.append(self._removed[uid])
-        for uid, told in now.items():
+    def _changes(self) -> list[EndpointEntry]:
+        current = {entry.uid: entry for entry in map(self._merged_entry, self._exchanges.values())}
+        changes: list[EndpointEntry] = []
+        for uid, entry in self._published.items():
+            if uid not in current and entry.state != TERMINATED:
+                self._removed[uid] = replace(entry, state=TERMINATING)
+                changes.append(self._removed[uid])
+        for uid, entry in current.items():
             self._removed.pop(uid, None)
-            if self._shown.get(uid) != told:
-                news.append(told)
-        self._shown = now
-        return news
-
-    def _told(self, line: ExchangeConfig) -> EndpointEntry:
-        heard = self._heard.get(line.name)
-        address, state, since = line.address, line.state, 0
-        if heard is not None:
-            address, since = heard.address or address, heard.since_ns
-            if RANKS[heard.state] > RANKS[state]:
-                state = heard.state
+            if self._published.get(uid) != entry:
+                changes.append(entry)
+        self._published = current
+        return changes
+
+    def _merged_entry(self, exchange: ExchangeConfig) -> EndpointEntry:
+        reported = self._reported.get(exchange.name)
+        address, state, started_ns = exchange.address, exchange.state, 0
+        if reported is not None:
+            address, started_ns = reported.address or address, reported.started_ns
+            if RESTRICTIVENESS[reported.state] > RESTRICTIVENESS[state]:
+                state = reported.state
         return EndpointEntry(
-            uid_of(line.name, address), address, line.zone, line.number, state, since, line.signalling,
-            line.point_code, line.circuits,
+            uid_of(exchange.name, address), address, exchange.zone, exchange.number, state, started_ns,
+            exchange.signalling, exchange.point_code, exchange.circuits,
         )  # fmt: skip
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -241,7 +241,7 @@
         for old, new in edits.get("application", ()):
             assert old in application
             application = application.replace(old, new.replace("M3UA", str(self.ports[1])))
-        numbers = self.sidecar.numbers if hasattr(self, "sidecar") else {}
+        numbers = self.sidecar.exchange_numbers if hasattr(self, "sidecar") else {}
         return compiled(self.path, inventory, application, numbers)
 
     def turn(self, until: Any, what: str = "condition") -> None:
