--- a/arrowrail/cli/__init__.py
+++ b/arrowrail/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The operators' command line: one module a sub-command, each imported only when it is named.
+"""The command line for operators, with one module per group of sub-commands.
 
-Exit codes of all commands: 0 good; 1 faults in what was given, or a drill that failed; 2 wrong use of the
-command line; 3 a port that can't be listened on.
+Exit codes of all commands: 0 success; 1 faults in the input, or a drill that failed; 2 incorrect usage of the
+command line; 3 a listener address that can't be bound.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import typer
 
 app = typer.Typer(
-    name="arrowrail", help="The call controller: sidecars, their configuration, drills.",
+    name="arrowrail", help="The call controller: sidecars, their configuration, and drills.",
     no_args_is_help=True, pretty_exceptions_enable=False, rich_markup_mode=None,
 )  # fmt: skip
 
--- a/arrowrail/cli/bench.py
+++ b/arrowrail/cli/bench.py
@@ -8,20 +8,22 @@
 
 
 def bench(
-    before: Annotated[str, typer.Option(help="a commit to compare plain run's memory with")] = "",
-    as_json: Annotated[bool, typer.Option("--json", help="for a program to read")] = False,
+    before: Annotated[
+        str, typer.Option(help="a commit to compare the memory use of a controller without records with")
+    ] = "",
+    as_json: Annotated[bool, typer.Option("--json", help="print JSON")] = False,
 ) -> None:
-    """Measure the checker, the limits and memory; some minutes, alone on the machine."""
+    """Measure the checker, the limits and memory use; takes some minutes on an otherwise idle machine."""
     import orjson
 
     from arrowrail.lab.bench import run
 
-    found = {}
-    for name, figures in run(before):
-        found[name] = figures
+    results = {}
+    for name, measurements in run(before):
+        results[name] = measurements
         if not as_json:
             typer.echo(f"{name}:")
-            for row in figures if isinstance(figures, list) else [figures]:
+            for row in measurements if isinstance(measurements, list) else [measurements]:
                 typer.echo("  " + "; ".join(f"{k}: {v}" for k, v in row.items()))
     if as_json:
-        typer.echo(orjson.dumps(found).decode())
+        typer.echo(orjson.dumps(results).decode())
--- a/arrowrail/cli/drill.py
+++ b/arrowrail/cli/drill.py
@@ -1,4 +1,4 @@
-"""``arrowrail drill``: hard cases played with real processes on loopback."""
+"""``arrowrail drill``: fault scenarios with real processes on loopback."""
 
 from __future__ import annotations
 
@@ -10,49 +10,55 @@
 
 
 def drill(
-    name: Annotated[str, typer.Argument(help="sidecar; 'list' names all")],
-    seed: Annotated[int, typer.Option(help="draws the times and faults; any must pass")] = 1,
-    as_json: Annotated[bool, typer.Option("--json", help="the result as one JSON object")] = False,
-    instances: Annotated[int, typer.Option(help="of the group, in the drill duties")] = 5,
-    short: Annotated[bool, typer.Option("--short", help="a shorter play of the same cases")] = False,
-    keep: Annotated[Path | None, typer.Option(help="an empty folder that keeps ledgers and logs")] = None,
-    seeds: Annotated[str, typer.Option(help="of the drill soak: A..B, one trial each")] = "",
-    seconds: Annotated[float, typer.Option(min=8.0, max=120.0, help="of faults, in the drill soak")] = 16.0,
-    plan: Annotated[bool, typer.Option("--plan", help="print the plan of a soak, and play nothing")] = False,
-    without: Annotated[str, typer.Option(help="faults of a soak to leave out, as 3,5")] = "",
-    trace: Annotated[str, typer.Option(help="the id of a call whose whole life is printed")] = "",
+    name: Annotated[str, typer.Argument(help="the drill's name; 'list' prints all")],
+    seed: Annotated[int, typer.Option(help="seed of the random times and faults; every seed must pass")] = 1,
+    as_json: Annotated[bool, typer.Option("--json", help="print the result as one JSON object")] = False,
+    instances: Annotated[int, typer.Option(help="instances of the group in the drill 'duties'")] = 5,
+    short: Annotated[
+        bool, typer.Option("--short", help="run a shorter version of the same scenarios")
+    ] = False,
+    keep: Annotated[Path | None, typer.Option(help="an empty folder to keep ledgers and logs in")] = None,
+    seeds: Annotated[str, typer.Option(help="range of seeds A..B for the drill 'soak', one trial each")] = "",
+    seconds: Annotated[
+        float, typer.Option(min=8.0, max=120.0, help="duration of the faults in the drill 'soak'")
+    ] = 16.0,
+    plan: Annotated[bool, typer.Option("--plan", help="print the plan of a soak without running it")] = False,
+    without: Annotated[
+        str, typer.Option(help="numbers of the faults of a soak to leave out, for example 3,5")
+    ] = "",
+    trace: Annotated[str, typer.Option(help="id of a call whose events are printed")] = "",
 ) -> None:
-    """Play a drill; exit 0 where no rule was broken, 1 where one was."""
+    """Run a drill.  Exit code 0: no rule was violated, 1: some were."""
     import orjson
 
     from arrowrail.lab.drills import NAMES, load
 
     if name == "soak":
-        from arrowrail.cli.soak import SoakRequest, faults_of, seeds_of, soak
+        from arrowrail.cli.soak import SoakRequest, parse_fault_numbers, parse_seeds, run_soak
 
-        asked = SoakRequest(
-            seeds_of(seeds or str(seed)), seconds, faults_of(without), plan, as_json, trace, keep
+        request = SoakRequest(
+            parse_seeds(seeds or str(seed)), seconds, parse_fault_numbers(without), plan, as_json, trace, keep
         )
-        raise typer.Exit(0 if soak(asked) else 1)
+        raise typer.Exit(0 if run_soak(request) else 1)
     if name == "list":
-        for known, what in NAMES.items():
-            typer.echo(f"{known}: {what}")
+        for drill_name, description in NAMES.items():
+            typer.echo(f"{drill_name}: {description}")
         return
     try:
-        play = load(name)
+        run_drill = load(name)
     except KeyError:
-        raise typer.BadParameter(f"no drill {name!r}; there are: {', '.join(NAMES)}") from None
+        raise typer.BadParameter(f"unknown drill {name!r}; known drills: {', '.join(NAMES)}") from None
     with tempfile.TemporaryDirectory() as temporary:
         folder = keep if keep is not None else Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
-        more = {"instances": instances} if name == "duties" else {}
-        outcome = play(seed, folder.resolve(), short, **more)
+        options = {"instances": instances} if name == "duties" else {}
+        outcome = run_drill(seed, folder.resolve(), short, **options)
     if as_json:
         typer.echo(orjson.dumps(outcome.as_json()).decode())
     else:
         for key, value in outcome.figures.items():
             typer.echo(f"{key}: {value}")
-        for broken in outcome.broken[:50]:
-            typer.echo(f"BROKEN: {broken}")
+        for violation in outcome.broken[:50]:
+            typer.echo(f"violation: {violation}")
         typer.echo(f"{name}, seed {seed}: {'passed' if outcome.passed else 'FAILED'}")
     raise typer.Exit(0 if outcome.passed else 1)
--- a/arrowrail/cli/sidecar.py
+++ b/arrowrail/cli/sidecar.py
@@ -1,4 +1,4 @@
-"""``arrowrail sidecar``: the controller beside one application."""
+"""``arrowrail sidecar``: runs the sidecar of one application."""
 
 from __future__ import annotations
 
@@ -11,15 +11,25 @@
 def sidecar(
     application: Annotated[str, typer.Argument(help="the application's name in the records")],
     config: Annotated[Path, typer.Option(help="the folder of records")] = Path("deploy/sidecar"),
-    log_form: Annotated[str | None, typer.Option(help="text or json; absent: as the records say")] = None,
+    log_form: Annotated[str | None, typer.Option(help="text or json; default: as in the records")] = None,
 ) -> None:
-    """Serve one application from the operator's records until SIGTERM; SIGHUP reads them again."""
+    """Run the sidecar of one application until SIGTERM; SIGHUP reloads the records."""
     import os
     import sys
 
     if log_form not in (None, "text", "json"):
-        raise typer.BadParameter("text or json", param_hint="--log-form")
-    # The same process goes on without what this command line has loaded: a third less memory to serve from.
-    form = ["--log-form", log_form] if log_form else []
-    command = [sys.executable, "-m", "arrowrail.sidecar", "--config", str(config), *form, "--", application]
+        raise typer.BadParameter("must be text or json", param_hint="--log-form")
+    # Replace this process, so that the modules of the command line do not stay loaded: the sidecar then needs
+    # a third less memory.
+    format_option = ["--log-form", log_form] if log_form else []
+    command = [
+        sys.executable,
+        "-m",
+        "arrowrail.sidecar",
+        "--config",
+        str(config),
+        *format_option,
+        "--",
+        application,
+    ]
     os.execv(sys.executable, command)
--- a/arrowrail/cli/soak.py
+++ b/arrowrail/cli/soak.py
@@ -1,4 +1,4 @@
-"""What ``arrowrail drill soak`` does: plan, play and judge one trial a seed."""
+"""``arrowrail drill soak``: plans, runs and checks one trial per seed."""
 
 from __future__ import annotations
 
@@ -8,61 +8,61 @@
 
 import typer
 
-MOST_SHOWN = 50  # breaches of one trial
+MAX_VIOLATIONS_SHOWN = 50  # per trial
 
 
 @dataclass(frozen=True, slots=True)
 class SoakRequest:
-    """What the command line asks for."""
+    """The options of the command line."""
 
     seeds: tuple[int, ...]
     seconds: float
-    without: frozenset[int]
+    excluded_faults: frozenset[int]  # numbers of the faults to leave out
     plan_only: bool
     as_json: bool
-    call: str  # whose trace is wanted; empty: nobody's
-    keep: Path | None
+    traced_call: str  # id of the call whose events are printed; empty: none
+    kept_folder: Path | None  # for ledgers and logs; None: a temporary folder
 
 
-def seeds_of(text: str) -> tuple[int, ...]:
-    """``7`` or ``A..B``, both included; ``typer.BadParameter`` for anything else."""
-    first, dots, last = text.partition("..")
+def parse_seeds(text: str) -> tuple[int, ...]:
+    """Parse one seed, or a range ``A..B`` that includes both ends."""
+    first, separator, last = text.partition("..")
     try:
-        low, high = int(first), int(last) if dots else int(first)
+        low, high = int(first), int(last) if separator else int(first)
     except ValueError:
         raise typer.BadParameter(f"{text!r} is neither a seed nor a range A..B") from None
     if high < low:
-        raise typer.BadParameter(f"{text!r} ends before it begins")
+        raise typer.BadParameter(f"the range {text!r} ends before it begins")
     return tuple(range(low, high + 1))
 
 
-def faults_of(text: str) -> frozenset[int]:
-    """``3,5``: the numbers of faults to leave out."""
+def parse_fault_numbers(text: str) -> frozenset[int]:
+    """Parse a list of fault numbers, such as ``3,5``."""
     try:
         return frozenset(int(part) for part in text.split(",") if part)
     except ValueError:
-        raise typer.BadParameter(f"{text!r} is no list of fault numbers") from None
+        raise typer.BadParameter(f"{text!r} is not a list of fault numbers") from None
 
 
-def soak(request: SoakRequest) -> bool:
-    """Play all seeds that were asked for; whether all passed."""
+def run_soak(request: SoakRequest) -> bool:
+    """Run a trial for each seed; return whether all passed."""
     passed = True
     for seed in request.seeds:
         with tempfile.TemporaryDirectory() as temporary:
-            folder = Path(temporary) if request.keep is None else request.keep / str(seed)
+            folder = Path(temporary) if request.kept_folder is None else request.kept_folder / str(seed)
             folder.mkdir(parents=True, exist_ok=True)
-            passed = _trial(request, seed, folder.resolve()) and passed
+            passed = _run_trial(request, seed, folder.resolve()) and passed
     return passed
 
 
-def _trial(request: SoakRequest, seed: int, folder: Path) -> bool:
+def _run_trial(request: SoakRequest, seed: int, folder: Path) -> bool:
     import orjson
 
     from arrowrail.lab.drills.soak import play_plan
     from arrowrail.lab.soak.plan import draw
     from arrowrail.lab.soak.trace import trace
 
-    plan = draw(seed, request.seconds).without(set(request.without))
+    plan = draw(seed, request.seconds).without(set(request.excluded_faults))
     if request.plan_only:
         typer.echo(orjson.dumps(plan.as_json()).decode() if request.as_json else "\n".join(plan.lines()))
         return True
@@ -70,11 +70,11 @@
     if request.as_json:
         typer.echo(orjson.dumps(outcome.as_json()).decode())
     else:
-        for broken in outcome.broken[:MOST_SHOWN]:
-            typer.echo(f"BROKEN: {broken}")
+        for violation in outcome.broken[:MAX_VIOLATIONS_SHOWN]:
+            typer.echo(f"violation: {violation}")
         for key, value in outcome.figures.items():
             typer.echo(f"  {key}: {value}")
         typer.echo(f"soak, seed {seed}: {'passed' if outcome.passed else 'FAILED'}")
-    if request.call:
-        typer.echo("\n".join(trace(folder, request.call)))
+    if request.traced_call:
+        typer.echo("\n".join(trace(folder, request.traced_call)))
     return outcome.passed
