--- a/arrowrail/cli/soak.py
+++ b/arrowrail/cli/soak.py
@@ -25,7 +25,7 @@
 
 
 def parse_seeds(text: str) -> tuple[int, ...]:
-    """Parse one seed, or a range ``A..B`` that includes both ends."""
+    """Parse ``7`` or ``A..B``, both ends included; raise ``typer.BadParameter`` for anything else."""
     first, separator, last = text.partition("..")
     try:
         low, high = int(first), int(last) if separator else int(first)
@@ -37,7 +37,7 @@
 
 
 def parse_fault_numbers(text: str) -> frozenset[int]:
-    """Parse a list of fault numbers, such as ``3,5``."""
+    """Parse a list of fault numbers, such as ``3,5``; raise ``typer.BadParameter`` if it is invalid."""
     try:
         return frozenset(int(part) for part in text.split(",") if part)
     except ValueError:
