--- a/arrowrail/wire/binary/connection.py
+++ b/arrowrail/wire/binary/connection.py
@@ -181,7 +181,7 @@
 
 
 class ReachabilityCheck(ServerConnection):
-    """An additional connection that tests whether a silent server with established calls still accepts one.
+    """An additional connection, to test whether a silent server with established calls still accepts one.
 
     It carries no set-ups.  Once up it is read for a while, since the server may report pending releases on
     it, and is then closed gracefully.
--- a/arrowrail/wire/binary/pool.py
+++ b/arrowrail/wire/binary/pool.py
@@ -29,8 +29,8 @@
 class ConnectionPool:
     """The connections to one endpoint.
 
-    A connection that breaks or delivers an unreadable message takes all unanswered set-ups on it with it.
-    Spreading set-ups over a few connections reduces that loss, and pending releases can be sent on another
+    When a connection breaks or delivers an unreadable message, all unanswered set-ups on it fail.  Spreading
+    set-ups over a few connections reduces their number, and pending releases can be sent on another
     connection at once.
     """
 
@@ -49,7 +49,7 @@
             connection.open()
 
     def least_loaded(self, call_id: str = "") -> ServerConnection:
-        """The established connection with the fewest pending set-ups, or any other if none is up.
+        """The connection with the fewest pending set-ups, preferably one that is up.
 
         A call that is tried again at this endpoint prefers another connection than before: there a late
         answer to the first set-up can't be mistaken for an answer to the second.
@@ -127,7 +127,7 @@
             self.connection_failed(error)
 
     def check_server(self) -> None:
-        """Gives up the calls of a lost server, and starts a reachability check of a silent one with calls."""
+        """Ends the calls of a lost server, and starts a reachability check of a silent one with calls."""
         now, core = self.backend.loop.now, self.backend.core
         loss = self.monitor.detect_loss(now)
         if loss is not None:
--- a/arrowrail/wire/stream.py
+++ b/arrowrail/wire/stream.py
@@ -30,10 +30,7 @@
     def connected(self) -> None: ...
     def received(self, data: bytes) -> None: ...
     def lost(self, error: OSError | None) -> None:
-        """The connection failed or was closed by the peer; ``error`` is ``None`` after an orderly close.
-
-        Not called for ``Stream.close``.
-        """
+        """The connection ended, other than by ``close``; ``error`` is ``None`` if that was orderly."""
 
 
 class _DiscardHandler:
--- a/tests/test_live_sip.py
+++ b/tests/test_live_sip.py
@@ -347,7 +347,7 @@
         fresh = target("d2", server.address, 1, boot_ms=int(time.time() * 1000) - 60_000)
         bus.tell(news(2, target("d1", server.address, 1, "terminated"), fresh))
         assert caller.bye(A).headers["reason"] == "Q.850;cause=41"
-        # The successor may have received the set-up, before the list told of the change.
+        # The successor may have accepted the set-up before the list reported it.
         assert release(peer, A).cause == 41
         successor = server.desk()
         assert peer.closed()
@@ -611,19 +611,19 @@
 def test_at_the_limit_new_connections_and_those_with_unread_input_are_not_evicted() -> None:
     server = Listening()
     with running(target("d1", server.address, 1), sockets=80 + 8) as run:
-        peer, front = server.desk(), run.controller.frontend
+        peer, frontend = server.desk(), run.controller.frontend
         holders = [Caller(run.port) for _ in range(8)]
         for holder in holders:  # each sent one request long ago and keeps its connection
             holder.send("OPTIONS", B)
             assert holder.take().status == 200
 
         def age() -> None:
-            for caller in front.callers:
+            for caller in frontend.callers:
                 caller.idle_since -= 2 * sip_frontend.EVICTABLE_IDLE_NS
 
         run.look(age)
         fresh = [Caller(run.port) for _ in range(6)]  # no request yet
-        run.until(lambda: sum(c.has_sent_request for c in front.callers) == 2)
+        run.until(lambda: sum(c.has_sent_request for c in frontend.callers) == 2)
         for n, caller in enumerate(fresh):
             caller.invite(f"{n:016x}")
             set_up(peer, f"{n:016x}")
@@ -632,9 +632,9 @@
         def close_one() -> tuple[bool, bool]:
             """Between two loop iterations: a set-up on the last connection but one has arrived unread."""
             holders[-2].invite(A)
-            kept = next(c for c in front.callers if not c.pending_calls)
+            kept = next(c for c in frontend.callers if not c.pending_calls)
             wait_until(lambda: kept.stream.has_unread_input)
-            return front._evict_idle(), kept.stream.open
+            return frontend._evict_idle(), kept.stream.open
 
         assert run.look(close_one) == (True, True)
         set_up(peer, A)
