--- a/arrowrail/cli/drill.py
+++ b/arrowrail/cli/drill.py
@@ -17,7 +17,9 @@
     short: Annotated[
         bool, typer.Option("--short", help="run a shorter version of the same scenarios")
     ] = False,
-    keep: Annotated[Path | None, typer.Option(help="an empty folder to keep ledgers and logs in")] = None,
+    keep: Annotated[
+        Path | None, typer.Option(help="an empty folder to keep the event logs and process logs in")
+    ] = None,
     seeds: Annotated[str, typer.Option(help="range of seeds A..B for the drill 'soak', one trial each")] = "",
     seconds: Annotated[
         float, typer.Option(min=8.0, max=120.0, help="duration of the faults in the drill 'soak'")
@@ -31,7 +33,7 @@
     """Run a drill.  Exit code 0: no rule was violated, 1: some were."""
     import orjson
 
-    from arrowrail.lab.drills import NAMES, load
+    from arrowrail.lab.drills import DRILLS, load_drill
 
     if name == "soak":
         from arrowrail.cli.soak import SoakRequest, parse_fault_numbers, parse_seeds, run_soak
@@ -41,24 +43,24 @@
         )
         raise typer.Exit(0 if run_soak(request) else 1)
     if name == "list":
-        for drill_name, description in NAMES.items():
+        for drill_name, description in DRILLS.items():
             typer.echo(f"{drill_name}: {description}")
         return
     try:
-        run_drill = load(name)
+        run_drill = load_drill(name)
     except KeyError:
-        raise typer.BadParameter(f"unknown drill {name!r}; known drills: {', '.join(NAMES)}") from None
+        raise typer.BadParameter(f"unknown drill {name!r}; known drills: {', '.join(DRILLS)}") from None
     with tempfile.TemporaryDirectory() as temporary:
         folder = keep if keep is not None else Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
         options = {"instances": instances} if name == "duties" else {}
-        outcome = run_drill(seed, folder.resolve(), short, **options)
+        result = run_drill(seed, folder.resolve(), short, **options)
     if as_json:
-        typer.echo(orjson.dumps(outcome.as_json()).decode())
+        typer.echo(orjson.dumps(result.as_json()).decode())
     else:
-        for key, value in outcome.figures.items():
+        for key, value in result.metrics.items():
             typer.echo(f"{key}: {value}")
-        for violation in outcome.broken[:50]:
+        for violation in result.violations[:50]:
             typer.echo(f"violation: {violation}")
-        typer.echo(f"{name}, seed {seed}: {'passed' if outcome.passed else 'FAILED'}")
-    raise typer.Exit(0 if outcome.passed else 1)
+        typer.echo(f"{name}, seed {seed}: {'passed' if result.passed else 'FAILED'}")
+    raise typer.Exit(0 if result.passed else 1)
--- a/arrowrail/cli/soak.py
+++ b/arrowrail/cli/soak.py
@@ -58,7 +58,7 @@
 def _run_trial(request: SoakRequest, seed: int, folder: Path) -> bool:
     import orjson
 
-    from arrowrail.lab.drills.soak import play_plan
+    from arrowrail.lab.drills.soak import run_plan
     from arrowrail.lab.soak.plan import draw
     from arrowrail.lab.soak.trace import trace
 
@@ -66,15 +66,15 @@
     if request.plan_only:
         typer.echo(orjson.dumps(plan.as_json()).decode() if request.as_json else "\n".join(plan.lines()))
         return True
-    outcome = play_plan(plan, folder)
+    result = run_plan(plan, folder)
     if request.as_json:
-        typer.echo(orjson.dumps(outcome.as_json()).decode())
+        typer.echo(orjson.dumps(result.as_json()).decode())
     else:
-        for violation in outcome.broken[:MAX_VIOLATIONS_SHOWN]:
+        for violation in result.violations[:MAX_VIOLATIONS_SHOWN]:
             typer.echo(f"violation: {violation}")
-        for key, value in outcome.figures.items():
+        for key, value in result.metrics.items():
             typer.echo(f"  {key}: {value}")
-        typer.echo(f"soak, seed {seed}: {'passed' if outcome.passed else 'FAILED'}")
+        typer.echo(f"soak, seed {seed}: {'passed' if result.passed else 'FAILED'}")
     if request.traced_call:
         typer.echo("\n".join(trace(folder, request.traced_call)))
-    return outcome.passed
+    return result.passed
