--- a/arrowrail/cli/soak.py
+++ b/arrowrail/cli/soak.py
@@ -21,7 +21,7 @@
     plan_only: bool
     as_json: bool
     traced_call: str  # id of the call whose events are printed; empty: none
-    kept_folder: Path | None  # for ledgers and logs; None: a temporary folder
+    kept_folder: Path | None  # for event logs and process logs; None: a temporary folder
 
 
 def parse_seeds(text: str) -> tuple[int, ...]:
