--- a/arrowrail/core/requests.py
+++ b/arrowrail/core/requests.py
@@ -127,7 +127,7 @@
     ) -> tuple[SetUpParams, FinalResponse | None]:
         """Return the routed parameters, and the final response if the set-up is refused."""
 
-    def set_up_finished(self, now: int, connection: object, params: SetUpParams, took_ns: int) -> None:
+    def set_up_finished(self, now: int, connection: object, params: SetUpParams, duration_ns: int) -> None:
         """An admitted set-up has its final response, or its caller has abandoned it."""
 
     def attempt_timeout_ns(self, params: SetUpParams) -> int:
--- a/arrowrail/lab/unlimited.py
+++ b/arrowrail/lab/unlimited.py
@@ -17,7 +17,7 @@
     def admit(self, now: int, class_name: str, connection: object) -> AdmissionResult:
         return ADMITTED_RESULT
 
-    def setup_ended(self, now: int, class_name: str, connection: object, duration_ns: int) -> None:
+    def set_up_ended(self, now: int, class_name: str, connection: object, duration_ns: int) -> None:
         pass
 
 
--- a/arrowrail/limits/buckets.py
+++ b/arrowrail/limits/buckets.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from arrowrail.limits.config import NANOS_PER_UNIT, SETUP_COST, LimitsConfig
+from arrowrail.limits.config import NANOS_PER_UNIT, SET_UP_COST, LimitsConfig
 
 
 @dataclass(slots=True)
@@ -72,22 +72,22 @@
         With ``surplus_only`` a quarter of each bucket is left to others.
         """
         own, shared = self.class_buckets[class_name], self.shared
-        if own.tokens - SETUP_COST >= (own.depth // 4 if surplus_only else 0):
-            own.tokens -= SETUP_COST
+        if own.tokens - SET_UP_COST >= (own.depth // 4 if surplus_only else 0):
+            own.tokens -= SET_UP_COST
             return True
-        borrowed = SETUP_COST if surplus_only else SETUP_COST - own.tokens
+        borrowed = SET_UP_COST if surplus_only else SET_UP_COST - own.tokens
         reserved = self.reserved_for_higher_ranks(self.config.classes[class_name].rank) + (
             shared.depth // 4 if surplus_only else 0
         )
         if shared.tokens - borrowed < reserved:
             return False
         shared.tokens -= borrowed
-        own.tokens -= SETUP_COST - borrowed
+        own.tokens -= SET_UP_COST - borrowed
         return True
 
-    def time_to_setup_ns(self, class_name: str) -> int:
+    def time_to_set_up_ns(self, class_name: str) -> int:
         """Returns the time until the class's own rate provides the tokens for one set-up."""
         own = self.class_buckets[class_name]
         return (
-            max(0, SETUP_COST - own.tokens) * NANOS_PER_UNIT // (own.rate or max(1, self.config.rate // 20))
+            max(0, SET_UP_COST - own.tokens) * NANOS_PER_UNIT // (own.rate or max(1, self.config.rate // 20))
         )
--- a/arrowrail/limits/config.py
+++ b/arrowrail/limits/config.py
@@ -11,7 +11,7 @@
 from fractions import Fraction
 
 SECOND_NS = 1_000_000_000
-SETUP_COST = SECOND_NS  # one set-up in bucket units, so that a rate per second times ns is exact
+SET_UP_COST = SECOND_NS  # one set-up in bucket units, so that a rate per second times ns is exact
 NANOS_PER_UNIT = 1_000_000_000  # a rate is stored as set-ups per 1e9 seconds
 
 
@@ -38,7 +38,7 @@
 
     def bucket_depth(self, rate: int) -> int:
         """Returns the capacity of a bucket in tokens: one burst, and at least one set-up."""
-        return max(SETUP_COST, rate * self.burst_ns // NANOS_PER_UNIT)
+        return max(SET_UP_COST, rate * self.burst_ns // NANOS_PER_UNIT)
 
 
 def build_limits(
--- a/arrowrail/limits/connections.py
+++ b/arrowrail/limits/connections.py
@@ -24,7 +24,7 @@
     open_count: int = 0
     admitted: int = 0  # recently admitted set-ups, halved with each window
     window_start: int = 0
-    last_setup: int = 0  # time of the last set-up, admitted or not
+    last_set_up: int = 0  # time of the last set-up, admitted or not
 
     def recent_admitted(self, now: int) -> int:
         """Applies the decay of the elapsed windows and returns the count of recently admitted set-ups."""
@@ -64,7 +64,7 @@
     def within_fair_rate(self, now: int, connection: object) -> bool:
         """Whether the connection's recently admitted set-ups are at most an equal part of all."""
         usage = self._get_or_create(now, connection)
-        usage.last_setup = now
+        usage.last_set_up = now
         own, total = usage.recent_admitted(now), self._total.recent_admitted(now)
         return (own - FAIRNESS_SLACK) * self._active_count(now) <= total
 
@@ -72,7 +72,7 @@
         """Number of active connections; cached for a short time, as there may be many connections."""
         if now - self._active_counted_at >= ACTIVE_COUNT_TTL_NS or now < self._active_counted_at:
             self._active_counted_at = now
-            self._active = sum(1 for usage in self._usage.values() if now - usage.last_setup < ACTIVE_NS)
+            self._active = sum(1 for usage in self._usage.values() if now - usage.last_set_up < ACTIVE_NS)
         return max(1, self._active)
 
     def _get_or_create(self, now: int, connection: object) -> ConnectionUsage:
@@ -80,17 +80,17 @@
         if usage is None:
             if len(self._usage) >= MAX_TRACKED:
                 self.evict_idle(now)
-            usage = self._usage[connection] = ConnectionUsage(window_start=now, last_setup=now)
+            usage = self._usage[connection] = ConnectionUsage(window_start=now, last_set_up=now)
         return usage
 
-    def setup_admitted(self, now: int, connection: object) -> None:
+    def set_up_admitted(self, now: int, connection: object) -> None:
         known = self._get_or_create(now, connection)
         known.open_count += 1
         for usage in (known, self._total):
             usage.recent_admitted(now)
             usage.admitted += 1
 
-    def setup_ended(self, connection: object) -> None:
+    def set_up_ended(self, connection: object) -> None:
         usage = self._usage.get(connection)
         if usage is not None and usage.open_count > 0:
             usage.open_count -= 1
@@ -101,6 +101,6 @@
             if (
                 usage.open_count == 0
                 and usage.recent_admitted(now) == 0
-                and now - usage.last_setup >= ACTIVE_NS
+                and now - usage.last_set_up >= ACTIVE_NS
             ):
                 del self._usage[connection]
--- a/arrowrail/limits/limiter.py
+++ b/arrowrail/limits/limiter.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from arrowrail.limits.buckets import RateLimiter
-from arrowrail.limits.config import NANOS_PER_UNIT, SECOND_NS, SETUP_COST, ClassLimit, LimitsConfig
+from arrowrail.limits.config import NANOS_PER_UNIT, SECOND_NS, SET_UP_COST, ClassLimit, LimitsConfig
 from arrowrail.limits.connections import ConnectionTracker
 
 ADMITTED, CONNECTION_OPEN, TOTAL_OPEN, CONNECTION_RATE, TOTAL_RATE = (
@@ -65,7 +65,7 @@
 
 
 class Limiter:
-    """Admits or refuses set-ups; ``setup_ended`` must be called once for each admitted one."""
+    """Admits or refuses set-ups; ``set_up_ended`` must be called once for each admitted one."""
 
     def __init__(self, config: LimitsConfig, now: int) -> None:
         self.config = config
@@ -77,7 +77,7 @@
         self.admitted_count = 0
         # By class: bucket units for refused callers that are expected to retry, and when last updated.
         self._retry_backlog: dict[str, tuple[int, int]] = {}
-        self._mean_setup_ns = INITIAL_MEAN_NS
+        self._mean_set_up_ns = INITIAL_MEAN_NS
         self._last_eviction = now
 
     def update_config(self, config: LimitsConfig, now: int) -> None:
@@ -103,7 +103,7 @@
         demand.peak = max(demand.peak, demand.open_count)
         self.open_count += 1
         self.admitted_count += 1
-        self.connections.setup_admitted(now, connection)
+        self.connections.set_up_admitted(now, connection)
         return ADMITTED_RESULT
 
     def _refusal_reason(self, now: int, limit: ClassLimit, connection: object) -> str:
@@ -140,14 +140,14 @@
         trunk_reservation = self.config.max_open * limit.rank // (16 * max(1, len(self.config.classes)))
         return free > kept_free + trunk_reservation
 
-    def setup_ended(self, now: int, class_name: str, connection: object, duration_ns: int) -> None:
+    def set_up_ended(self, now: int, class_name: str, connection: object, duration_ns: int) -> None:
         """Records that an admitted set-up got its final answer or was abandoned by its caller."""
         limit = self.config.classes.get(class_name) or max(self.config.classes.values(), key=lambda c: c.rank)
         demand = self.demand[limit.name]
         demand.open_count = max(0, demand.open_count - 1)
         self.open_count = max(0, self.open_count - 1)
-        self.connections.setup_ended(connection)
-        self._mean_setup_ns += (duration_ns - self._mean_setup_ns) // 16
+        self.connections.set_up_ended(connection)
+        self._mean_set_up_ns += (duration_ns - self._mean_set_up_ns) // 16
 
     def _refuse(self, now: int, reason: str, limit: ClassLimit) -> AdmissionResult:
         """Refuses a set-up; retry delays spread callers at the rate at which they can be admitted."""
@@ -157,17 +157,17 @@
         rate = limit.reserved_rate or max(1, self.config.rate // 20)
         backlog = max(0, backlog - (now - updated_at) * rate // NANOS_PER_UNIT)
         self._retry_backlog[limit.name] = (
-            min(backlog + SETUP_COST, self.config.bucket_depth(rate) * 16),
+            min(backlog + SET_UP_COST, self.config.bucket_depth(rate) * 16),
             now,
         )
         if not self.config.max_retry_after_ns:
             return AdmissionResult(reason)
         if reason in (TOTAL_RATE, CONNECTION_RATE):
-            delay = max(self.rate_limiter.time_to_setup_ns(limit.name), backlog * NANOS_PER_UNIT // rate)
+            delay = max(self.rate_limiter.time_to_set_up_ns(limit.name), backlog * NANOS_PER_UNIT // rate)
         else:
             # Capacity for one set-up becomes free each time one of the open set-ups ends.
             open_count = max(1, self.open_count)
             delay = max(
-                self._mean_setup_ns // 4, self._mean_setup_ns * (backlog // SETUP_COST + 1) // open_count
+                self._mean_set_up_ns // 4, self._mean_set_up_ns * (backlog // SET_UP_COST + 1) // open_count
             )
         return AdmissionResult(reason, max(1_000_000, min(delay, self.config.max_retry_after_ns)))
--- a/arrowrail/sidecar/admission.py
+++ b/arrowrail/sidecar/admission.py
@@ -78,8 +78,8 @@
             deadline_ns=deadline_ns,
         ), None
 
-    def set_up_finished(self, now: int, connection: object, params: SetUpParams, took_ns: int) -> None:
-        self.limiter.setup_ended(now, params.class_name, connection, took_ns)
+    def set_up_finished(self, now: int, connection: object, params: SetUpParams, duration_ns: int) -> None:
+        self.limiter.set_up_ended(now, params.class_name, connection, duration_ns)
 
     def attempt_timeout_ns(self, params: SetUpParams) -> int:
         class_config = self.config.classes.get(params.class_name)
--- a/arrowrail/wire/bad_input.py
+++ b/arrowrail/wire/bad_input.py
@@ -38,15 +38,15 @@
 class RateLimitedWarning:
     """Counts bad input and logs one warning per ``LOG_INTERVAL_NS``, with the count since the last one."""
 
-    __slots__ = ("_loop", "_next_log_ns", "total", "unsaid")
+    __slots__ = ("_loop", "_next_log_ns", "total", "unreported")
 
     def __init__(self, loop: Loop) -> None:
         self._loop, self._next_log_ns = loop, 0
-        self.total = self.unsaid = 0  # unsaid: counted since the last warning
+        self.total = self.unreported = 0  # unreported: counted since the last warning
 
     def record(self, text: str) -> None:
         self.total += 1
-        self.unsaid += 1
+        self.unreported += 1
         if self._loop.now >= self._next_log_ns:
-            logger.warning("{} ({} such events since the last warning)", text, self.unsaid)
-            self._next_log_ns, self.unsaid = self._loop.now + LOG_INTERVAL_NS, 0
+            logger.warning("{} ({} such events since the last warning)", text, self.unreported)
+            self._next_log_ns, self.unreported = self._loop.now + LOG_INTERVAL_NS, 0
--- a/arrowrail/wire/m3ua/backend.py
+++ b/arrowrail/wire/m3ua/backend.py
@@ -82,7 +82,7 @@
         self.monitor.connected(self.backend.loop.now)
         for call in list(self.calls_by_cic.values()):
             if call.clearing:
-                self._send_release(call, causes.NORMAL_CLEARING)
+                self._send_release(call, causes.Q850_NORMAL_CLEARING)
             elif not call.answered:
                 self._send_iam(call)
         self.report_circuits()
@@ -306,7 +306,7 @@
     def cancel_set_up(self, endpoint: Endpoint, call_id: str) -> None:
         trunk_group = self.trunk_groups.get(endpoint.endpoint_id)
         if trunk_group is not None and not trunk_group.discard_set_up(call_id):
-            trunk_group.release(call_id, causes.NORMAL_CLEARING)
+            trunk_group.release(call_id, causes.Q850_NORMAL_CLEARING)
 
     def release(self, endpoint: Endpoint, call_id: str, cause: int) -> None:
         trunk_group = self.trunk_groups.get(endpoint.endpoint_id)
--- a/arrowrail/wire/m3ua/causes.py
+++ b/arrowrail/wire/m3ua/causes.py
@@ -11,7 +11,7 @@
 
 from arrowrail.core.requests import FAILED, NO_ROUTE, OVER_LIMIT, FinalResponse, ReleaseOutcome
 
-NORMAL_CLEARING = 16
+Q850_NORMAL_CLEARING = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,5 +76,5 @@
     return ReleaseOutcome(
         mapping.outcome,
         mapping.cause,
-        "served" if cause in (NORMAL_CLEARING, UNSPECIFIED.q850) else "connection_lost",
+        "served" if cause in (Q850_NORMAL_CLEARING, UNSPECIFIED.q850) else "connection_lost",
     )
--- a/arrowrail/wire/m3ua/frontend.py
+++ b/arrowrail/wire/m3ua/frontend.py
@@ -100,7 +100,7 @@
             own_association = self.associations.get(circuit.association_handle)
             if circuit.clearing and (own_association is None or own_association.state != ACTIVE):
                 circuit.association_handle = association.handle
-                self._send_release(circuit, causes.NORMAL_CLEARING)
+                self._send_release(circuit, causes.Q850_NORMAL_CLEARING)
 
     def association_lost(self, association: Association, _error: OSError | None) -> None:
         self.associations.remove(association.handle)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from arrowrail.limits.buckets import RateLimiter
-from arrowrail.limits.config import NANOS_PER_UNIT, SETUP_COST, LimitsConfig, build_limits
+from arrowrail.limits.config import NANOS_PER_UNIT, SET_UP_COST, LimitsConfig, build_limits
 from arrowrail.limits.connections import ConnectionTracker
 from arrowrail.limits.limiter import (
     ADMITTED,
@@ -116,16 +116,16 @@
     rate_limiter.shared.tokens = rate_limiter.shared.depth
     acquire_all(rate_limiter, "report")
     left = rate_limiter.shared.tokens
-    assert left >= rate_limiter.shared.depth // 3 - SETUP_COST
+    assert left >= rate_limiter.shared.depth // 3 - SET_UP_COST
     assert acquire_all(rate_limiter, "call") > 0 and rate_limiter.shared.tokens < left
-    assert acquire_all(rate_limiter, "alarm") > 0 and rate_limiter.shared.tokens < SETUP_COST
+    assert acquire_all(rate_limiter, "alarm") > 0 and rate_limiter.shared.tokens < SET_UP_COST
 
 
 def test_class_without_reserved_rate_uses_the_shared_bucket() -> None:
     rate_limiter = RateLimiter(limits_config(rate=10, shares={"report": (Fraction(0), Fraction(0))}), T0)
     assert acquire_all(rate_limiter, "report") == 0
     rate_limiter.refill(T0 + 2 * SECOND_NS)
-    assert acquire_all(rate_limiter, "report") > 0 and rate_limiter.time_to_setup_ns("report") > 0
+    assert acquire_all(rate_limiter, "report") > 0 and rate_limiter.time_to_set_up_ns("report") > 0
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -139,7 +139,7 @@
         acquired += rate_limiter.try_acquire(class_name)
     # At most the initial bucket depths and the tokens that the rate has provided since.
     depth = sum(config.bucket_depth(c.reserved_rate) for c in config.classes.values())
-    assert acquired * SETUP_COST <= depth + config.rate * (now - T0) // NANOS_PER_UNIT
+    assert acquired * SET_UP_COST <= depth + config.rate * (now - T0) // NANOS_PER_UNIT
 
 
 def test_new_config_keeps_remaining_tokens_up_to_the_new_depth() -> None:
@@ -155,7 +155,7 @@
 def test_single_connection_is_limited_to_its_share_and_leaves_room_for_another() -> None:
     tracker, held = ConnectionTracker(), 0
     while tracker.may_open("a", 100 - held, Fraction(2, 3)):
-        tracker.setup_admitted(T0, "a")
+        tracker.set_up_admitted(T0, "a")
         held += 1
     assert held == 66
     assert tracker.may_open("b", 100 - held, Fraction(2, 3))
@@ -169,11 +169,11 @@
     for step in range(20_000):
         index = rng.randrange(count)
         if tracker.may_open(index, 120 - sum(held), Fraction(2, 3)):
-            tracker.setup_admitted(T0, index)
+            tracker.set_up_admitted(T0, index)
             held[index] += 1
         ended = rng.randrange(count)
         if held[ended] and step % 3 == 0:  # set-ups end, and their capacity is requested again
-            tracker.setup_ended(ended)
+            tracker.set_up_ended(ended)
             held[ended] -= 1
         if step > 4000:
             total = [a + b for a, b in zip(total, held, strict=True)]
@@ -183,9 +183,9 @@
 def test_connection_above_its_equal_part_is_unfair_until_its_count_decays() -> None:
     tracker = ConnectionTracker()
     for _ in range(40):
-        tracker.setup_admitted(T0, "flood")
+        tracker.set_up_admitted(T0, "flood")
     for _ in range(10):
-        tracker.setup_admitted(T0, "light")
+        tracker.set_up_admitted(T0, "light")
     assert (
         not tracker.within_fair_rate(T0, "flood")
         and tracker.within_fair_rate(T0, "light")
@@ -197,12 +197,12 @@
 def test_idle_connections_are_evicted() -> None:
     tracker = ConnectionTracker()
     for n in range(5000):
-        tracker.setup_admitted(T0 + n * SECOND_NS, n)
-        tracker.setup_ended(n)
+        tracker.set_up_admitted(T0 + n * SECOND_NS, n)
+        tracker.set_up_ended(n)
     assert len(tracker) <= 4096
     tracker.evict_idle(T0 + 6000 * SECOND_NS)
     assert len(tracker) == 0
-    tracker.setup_ended("never seen")
+    tracker.set_up_ended("never seen")
 
 
 # --- The limiter ----------------------------------------------------------------------------------------
@@ -217,7 +217,7 @@
         and 0 < result.retry_after_ns <= 2 * SECOND_NS
         and REASON_TEXTS[result.reason]
     )
-    limiter.setup_ended(T0 + SECOND_NS, "alarm", "a", SECOND_NS)
+    limiter.set_up_ended(T0 + SECOND_NS, "alarm", "a", SECOND_NS)
     assert limiter.admit(T0 + SECOND_NS, "alarm", "a").admitted
 
 
@@ -229,7 +229,7 @@
     first = admit_many(limiter, T0 + MILLISECOND_NS, "alarm", 1000, "a").count(ADMITTED)
     assert first >= 5
     for step in range(60):
-        limiter.setup_ended(T0 + step * MILLISECOND_NS, "report", "r", 500 * MILLISECOND_NS)
+        limiter.set_up_ended(T0 + step * MILLISECOND_NS, "report", "r", 500 * MILLISECOND_NS)
         admit_many(limiter, T0 + step * MILLISECOND_NS, "report", 5, "r")
         admit_many(limiter, T0 + step * MILLISECOND_NS, "alarm", 5, "a")
     assert limiter.demand["alarm"].open_count >= 40 and limiter.open_count <= 80
@@ -239,10 +239,10 @@
     limiter = Limiter(limits_config(max_open=80, rate=100_000), T0)
     admitted_count = admit_many(limiter, T0, "alarm", 40, "a").count(ADMITTED)
     for _ in range(admitted_count):
-        limiter.setup_ended(T0 + SECOND_NS, "alarm", "a", SECOND_NS)
+        limiter.set_up_ended(T0 + SECOND_NS, "alarm", "a", SECOND_NS)
     soon = admit_many(limiter, T0 + SECOND_NS, "report", 200, "r").count(ADMITTED)
     for _ in range(soon):
-        limiter.setup_ended(T0 + 2 * SECOND_NS, "report", "r", SECOND_NS)
+        limiter.set_up_ended(T0 + 2 * SECOND_NS, "report", "r", SECOND_NS)
     later = admit_many(limiter, T0 + 60 * SECOND_NS, "report", 200, "r").count(ADMITTED)
     assert later > soon
 
@@ -274,7 +274,7 @@
                 result = limiter.admit(now, "report", connection)
                 reasons[connection].append(result.reason)
                 if result.admitted:
-                    limiter.setup_ended(now, "report", connection, 50 * MILLISECOND_NS)
+                    limiter.set_up_ended(now, "report", connection, 50 * MILLISECOND_NS)
     assert reasons["light"].count(ADMITTED) / len(reasons["light"]) >= 0.95
     assert CONNECTION_RATE in reasons["flood"]
 
@@ -289,7 +289,7 @@
 def test_unknown_class_counts_as_the_one_of_lowest_worth() -> None:
     limiter = Limiter(limits_config(max_open=10), T0)
     assert limiter.admit(T0, "other", "a").admitted and limiter.demand["report"].open_count == 1
-    limiter.setup_ended(T0, "other", "a", MILLISECOND_NS)
+    limiter.set_up_ended(T0, "other", "a", MILLISECOND_NS)
     assert limiter.demand["report"].open_count == 0
 
 
@@ -299,7 +299,7 @@
     limiter.update_config(limits_config(max_open=10, rate=100_000), T0)
     assert admit_many(limiter, T0, "alarm", 3) == [TOTAL_OPEN] * 3
     for _ in range(admitted_count - 4):
-        limiter.setup_ended(T0 + SECOND_NS, "alarm", "a", SECOND_NS)
+        limiter.set_up_ended(T0 + SECOND_NS, "alarm", "a", SECOND_NS)
     assert limiter.admit(T0 + SECOND_NS, "alarm", "a").admitted
 
 
@@ -328,7 +328,7 @@
                 assert before < current_max
                 admitted.append((class_name, connection))
         elif kind == "end" and admitted:
-            limiter.setup_ended(now, *admitted.pop(len(admitted) // 2), 100 * MILLISECOND_NS)
+            limiter.set_up_ended(now, *admitted.pop(len(admitted) // 2), 100 * MILLISECOND_NS)
         elif kind == "config":
             current_max = max(1, current_max // 2)
             limiter.update_config(limits_config(current_max, rate, connection_share=Fraction(1, 2)), now)
@@ -338,6 +338,6 @@
                 1 for _, connection in admitted if connection == name
             )
     for class_name, connection in admitted:
-        limiter.setup_ended(now, class_name, connection, MILLISECOND_NS)
+        limiter.set_up_ended(now, class_name, connection, MILLISECOND_NS)
     assert limiter.open_count == 0 and all(n.open_count == 0 for n in limiter.demand.values())
     assert limiter.admit(now + 100 * SECOND_NS, "alarm", "a").admitted
