--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -32,10 +32,10 @@
 
 
 def entry(
-    endpoint_id: int, state: str = "in_service", since: int = 0, zone: str = "z"
+    endpoint_id: int, state: str = "in_service", started_ns: int = 0, zone: str = "z"
 ) -> interface.ListEntry:
     """Endpoint 100 + n serves exchange n; 200 + n is its replacement."""
-    return interface.ListEntry(endpoint_id, zone, endpoint_id % 100, state, since)
+    return interface.ListEntry(endpoint_id, zone, endpoint_id % 100, state, started_ns)
 
 
 def group(endpoint_id: int, free: float, size: float = 20) -> interface.TrunkGroupReport:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -253,7 +253,7 @@
 
 
 def test_same_events_lead_to_the_same_actions() -> None:
-    def day() -> list[interface.Action]:
+    def simulate() -> list[interface.Action]:
         controller, actions = new_controller(), []
         for k in range(200):
             now = T0 + k * 50 * MS
@@ -264,7 +264,7 @@
             actions += controller.step(now, events)
         return actions
 
-    assert day() == day() and len(day()) > 100
+    assert simulate() == simulate() and len(simulate()) > 100
 
 
 def test_events_about_unknown_calls_and_endpoints_are_ignored() -> None:
@@ -381,14 +381,14 @@
     controller = new_controller()
     controller.step(T0, [group(101, 0, 0)])
     update = interface.ExchangeListUpdate(
-        "update", (entry(101, "terminating"), entry(201, since=T0 - 60 * SECOND))
+        "update", (entry(101, "terminating"), entry(201, started_ns=T0 - 60 * SECOND))
     )
     assert [n for _, n in sent(controller.step(T0 + MS, [update, call("a")]))] in ([102], [103])
 
 
 def test_full_trunk_group_of_unknown_size_is_not_tried_before_a_report_of_free_circuits() -> None:
     controller = new_controller(free=0)
-    controller.step(T0, [interface.ExchangeListUpdate("update", (entry(104, since=T0 - 60 * SECOND),))])
+    controller.step(T0, [interface.ExchangeListUpdate("update", (entry(104, started_ns=T0 - 60 * SECOND),))])
     assert sent(controller.step(T0, [call("a", destination=4)])) == [("a", 104)]
     controller.step(T0, [ended("a", 104, "not_sent", cause=1)])
     assert sent(controller.step(T0, [call("b", destination=4)])) == []
@@ -489,8 +489,8 @@
     ]
     for may_message_peers in (False, True):
         controller = Controller(settings(may_message_peers=may_message_peers), 1)
-        marks = [a.timer_id for a in controller.step(T0, updates) if isinstance(a, interface.SetTimer)]
-        assert marks == (["note"] if may_message_peers else [])
+        timer_ids = [a.timer_id for a in controller.step(T0, updates) if isinstance(a, interface.SetTimer)]
+        assert timer_ids == (["note"] if may_message_peers else [])
     again = [
         a
         for a in controller.step(T0 + SECOND, [interface.TimerExpired("note")])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -76,7 +76,7 @@
 def test_replacement_takes_over_for_the_same_exchange() -> None:
     controller = new_controller()
     update = interface.ExchangeListUpdate(
-        "update", (entry(101, "terminating"), entry(201, since=T0 - 60 * SECOND))
+        "update", (entry(101, "terminating"), entry(201, started_ns=T0 - 60 * SECOND))
     )
     controller.step(T0, [update, group(201, 20)])
     assert sent(controller.step(T0 + MS, [call("a")])) == [("a", 201)]
@@ -84,7 +84,7 @@
 
 def test_endpoint_in_slow_start_gets_a_limited_number_of_set_ups() -> None:
     controller = new_controller()
-    controller.step(T0, [interface.ExchangeListUpdate("update", (entry(101, since=T0 - MS),))])
+    controller.step(T0, [interface.ExchangeListUpdate("update", (entry(101, started_ns=T0 - MS),))])
     burst = [call(f"c{k}", call_class=URGENT) for k in range(30)]
     to_slow_start = [n for _, n in sent(controller.step(T0 + MS, burst)) if n == 101]
     assert len(to_slow_start) == 1
@@ -94,7 +94,7 @@
 
 def test_calls_in_transit_count_against_the_slow_start_limit() -> None:
     controller = new_controller()
-    controller.step(T0, [interface.ExchangeListUpdate("update", (entry(101, since=T0 - MS),))])
+    controller.step(T0, [interface.ExchangeListUpdate("update", (entry(101, started_ns=T0 - MS),))])
     burst = [call(f"t{k}", call_class=URGENT, in_transit=True) for k in range(9)]
     assert len(sent(controller.step(T0 + MS, burst))) == 1
 
@@ -123,7 +123,7 @@
         T0,
         [
             interface.ExchangeListUpdate(
-                "restored", (entry(101, since=T0 - SECOND), entry(102, "terminating"))
+                "restored", (entry(101, started_ns=T0 - SECOND), entry(102, "terminating"))
             )
         ],
     )
@@ -174,18 +174,17 @@
     sends: list[int] = []
     for rank in range(controllers):
         controller = new_controller(controllers=controllers, rank=rank)
-        controller.step(T0, [interface.ExchangeListUpdate("update", (entry(101, since=T0 - MS),))])
+        controller.step(T0, [interface.ExchangeListUpdate("update", (entry(101, started_ns=T0 - MS),))])
         for tick in range(80):
             now = T0 + tick * 100 * MS
             flood = [call(f"{tick}.{k}", call_class=URGENT, now=now) for k in range(3)]
             sends += [now for _, endpoint_id in sent(controller.step(now, flood)) if endpoint_id == 101]
             controller.step(now, [interface.CallAbandoned(f"{tick}.{k}") for k in range(3)])
-    planned = (
-        3 * 20 / 2 / (URGENT.holding_ns / SECOND)
-    )  # calls per second that the own circuits are built for
-    budget = 2 * planned * 0.3 * 4.0
+    # Calls per second that the own circuits are built for.
+    planned = 3 * 20 / 2 / (URGENT.holding_ns / SECOND)
+    limit = 2 * planned * 0.3 * 4.0
     assert sends
-    assert max(sum(t <= u < t + SECOND for u in sends) for t in sends) <= budget
+    assert max(sum(t <= u < t + SECOND for u in sends) for t in sends) <= limit
     assert max(sends) > T0 + 5 * SECOND
 
 
--- a/trackhatch/controller.py
+++ b/trackhatch/controller.py
@@ -683,10 +683,14 @@
             event.latency_ns / SECOND_NS,
         )
         if endpoint is not None and sent_at is not None:
-            via = False
+            via_tandem = False
             if call is not None:
-                via = endpoint.entry.exchange != call.offer.destination
-                if via and self.settings.layout == "meshed" and call.offer.destination in self.in_service:
+                via_tandem = endpoint.entry.exchange != call.offer.destination
+                if (
+                    via_tandem
+                    and self.settings.layout == "meshed"
+                    and call.offer.destination in self.in_service
+                ):
                     last = self.in_service[call.offer.destination]
                     self.record_leg(endpoint.entry.exchange, call.offer.destination, 0.0)
                     self.record_transit_delay(endpoint, latency_s - last.expected_s(self.now))
@@ -695,7 +699,9 @@
                     self.busy_numbers[call.offer.number].add(self.now, 0.0)
             self.drop_overtaken(endpoint, sent_at)
             endpoint.failures.add(self.now, 0.0)
-            endpoint.record_answer(self.now, latency_s, via or self.after_pause or sent_at == self.resumed_ns)
+            endpoint.record_answer(
+                self.now, latency_s, via_tandem or self.after_pause or sent_at == self.resumed_ns
+            )
             endpoint.lost_answers.add(self.now, 0.0)
         if call is not None:
             call.established = True
@@ -706,9 +712,10 @@
         Guards against one lost or late answer counting as the wait at an endpoint that answers all others.
         Set-ups over a tandem are left out, as their answers take longer.
         """
-        for call_id, at in list(endpoint.pending.items()):
+        for call_id, other_sent_at in list(endpoint.pending.items()):
             call = self.calls.get(call_id)
-            if at > sent_at - int(endpoint.idle_set_up_s * SECOND_NS):  # sent too closely: may be reordered
+            if other_sent_at > sent_at - int(endpoint.idle_set_up_s * SECOND_NS):
+                # Sent so closely that they may be reordered on the way.
                 break
             if (
                 call is None
@@ -718,7 +725,7 @@
                 del endpoint.pending[call_id]
                 endpoint.lost_answers.add(self.now, 1.0)
                 if call is not None and self.settings.may_cancel and call.call_class.repeat == "free":
-                    delay = int(CANCEL_DELAY * call.call_class.aim_ns) - (self.now - at)
+                    delay = int(CANCEL_DELAY * call.call_class.aim_ns) - (self.now - other_sent_at)
                     self.actions.append(
                         interface.SetTimer(max(1, delay), f"{CANCEL_TIMER_PREFIX} {call.attempts} {call_id}")
                     )
@@ -779,7 +786,7 @@
         self, endpoint: EndpointEstimate, call: Call, event: interface.AttemptEnded, unanswered: bool
     ) -> None:
         """Attribute a failed attempt to the endpoint, the remote leg or the called number."""
-        via = endpoint.entry.exchange != call.offer.destination and self.settings.layout == "meshed"
+        via_tandem = endpoint.entry.exchange != call.offer.destination and self.settings.layout == "meshed"
         if event.cause == interface.CAUSE_CONNECTION_FAILED:
             return  # guards against avoiding healthy endpoints because of faults of their connections
         if event.cause == 1:  # no free circuit or agent, also where no group size is reported
@@ -795,7 +802,7 @@
             elif event.cause % 16 == 3:  # processor full; the higher bits carry its wait in milliseconds
                 endpoint.record_failure(self.now, 1.0, event.cause // 16 / 1000.0)
         elif unanswered and event.outcome in ("no_answer", "no_connection", "connection_lost"):
-            endpoint.record_failure(self.now, 0.5 if via else 1.0)
+            endpoint.record_failure(self.now, 0.5 if via_tandem else 1.0)
         elif event.outcome == "server_error" and event.cause == CAUSE_USER_BUSY:
             if call.offer.number not in self.busy_numbers and len(self.busy_numbers) >= MAX_NUMBERS:
                 del self.busy_numbers[next(iter(self.busy_numbers))]
@@ -1006,7 +1013,7 @@
 
         Guards against overloading it.  Each controller keeps to its part of what the endpoint can take after
         its start.  That is estimated from the own circuits, which do not change in a flood of calls.  A part
-        below one set-up per window becomes one set-up per longer window, in turns by rank, so that the sum
+        below one set-up per window becomes one set-up per longer window, staggered by rank, so that the sum
         stays within the limit for any number of controllers.  Drawback: a small exchange refuses calls too
         early.
         """
@@ -1020,6 +1027,6 @@
         part = limit * 2 * SLOW_START_SAFETY / self.settings.controllers
         window = int(self.settings.fall_ns / max(min(part, 1.0), 0.01))
         endpoint.slow_start_sends = [t for t in endpoint.slow_start_sends if t > self.now - window]
-        turn = (window - self.settings.fall_ns) * self.settings.rank // self.settings.controllers
-        turn_starts_ns = endpoint.slow_start_until - self.settings.cold_ns + turn
-        return self.now >= turn_starts_ns and len(endpoint.slow_start_sends) < max(1, int(part))
+        rank_delay_ns = (window - self.settings.fall_ns) * self.settings.rank // self.settings.controllers
+        first_send_ns = endpoint.slow_start_until - self.settings.cold_ns + rank_delay_ns
+        return self.now >= first_send_ns and len(endpoint.slow_start_sends) < max(1, int(part))
--- a/trackhatch/interface.py
+++ b/trackhatch/interface.py
@@ -133,8 +133,8 @@
     call_id: str
     class_name: str
     tenant: str
-    destination: int
-    number: int
+    destination: int  # number of the exchange
+    number: int  # called number
     width: int
     deadline_ns: int  # time at which the caller gives up this try
     expected_work_ns: int  # expected own work of the call; 0: not known
@@ -202,6 +202,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
+    """A timer that was set with ``SetTimer`` has expired."""
+
     timer_id: str
 
 
@@ -262,6 +264,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Send ``TimerExpired`` with the same id after the delay."""
+
     delay_ns: int
     timer_id: str
 
@@ -273,6 +277,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelSetUp:
+    """Cancel an attempt that is not answered yet."""
+
     call_id: str
     attempt: int
 
@@ -286,7 +292,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    peer: int  # -1: all
+    """Send a message to other controller instances."""
+
+    peer: int  # rank of the receiver; -1: all
     payload: bytes
 
 
--- a/trackhatch/simhost.py
+++ b/trackhatch/simhost.py
@@ -176,18 +176,18 @@
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
             raise WireError(f"not a batch: {error}") from error
         replies = []
-        for number, messages in batches:
+        for server_id, messages in batches:
             try:
-                actions = self._handle(number, now, messages)
+                actions = self._handle(server_id, now, messages)
             except Exception as error:
                 # The protocol requires every failure of the decision code to be reported.
                 traceback.print_exc()
                 actions = [{"panic": {"message": f"{type(error).__name__}: {error}"}}]
             if actions:
-                replies.append({"server-id": number, "decisions": actions})
+                replies.append({"server-id": server_id, "decisions": actions})
         return orjson.dumps({"groups": replies})
 
-    def _handle(self, number: int, now: int, messages: list[Message]) -> list[Message]:
+    def _handle(self, server_id: int, now: int, messages: list[Message]) -> list[Message]:
         events: list[interface.Event] = []
         actions: list[Message] = []
         for message in messages:
@@ -200,29 +200,33 @@
                     )
                     events.append(interface.ExchangeListUpdate(fields["form"], entries))
                 elif name in ("stop", "spawn"):
-                    actions += self._run(number, now, events)
+                    actions += self._run(server_id, now, events)
                     events = []
-                    self.controllers.pop(number, None)
+                    self.controllers.pop(server_id, None)
                     if name == "stop":
                         actions = []
                     else:
-                        self.controllers[number] = Controller(
+                        self.controllers[server_id] = Controller(
                             read_settings(fields["info"]), fields.get("prng", 0)
                         )
                 elif name in READERS:
                     events.append(READERS[name](fields))
-        return actions + self._run(number, now, events)
+        return actions + self._run(server_id, now, events)
 
-    def _run(self, number: int, now: int, events: list[interface.Event]) -> list[Message]:
-        controller = self.controllers.get(number)
+    def _run(self, server_id: int, now: int, events: list[interface.Event]) -> list[Message]:
+        controller = self.controllers.get(server_id)
         if controller is None or not events:
             return []
         return [write_action(a) for a in controller.step(now, events)]
 
 
-def _read_entry(line: Message) -> interface.ListEntry:
+def _read_entry(fields: Message) -> interface.ListEntry:
     return interface.ListEntry(
-        line["office"], line.get("site", ""), line.get("cell", -1), line["readiness"], line.get("since-ns", 0)
+        fields["office"],
+        fields.get("site", ""),
+        fields.get("cell", -1),
+        fields["readiness"],
+        fields.get("since-ns", 0),
     )
 
 
