--- a/arrowrail/limits/buckets.py
+++ b/arrowrail/limits/buckets.py
@@ -19,7 +19,7 @@
     tokens: int
 
     def refill(self, elapsed_ns: int) -> int:
-        """Adds the tokens for the elapsed time; returns the overflow."""
+        """Add the tokens for the elapsed time; return the overflow."""
         tokens = self.tokens + self.rate * elapsed_ns // NANOS_PER_UNIT
         overflow = max(0, tokens - self.depth)
         self.tokens = tokens - overflow
@@ -36,7 +36,7 @@
         self.update_config(config)
 
     def update_config(self, config: LimitsConfig) -> None:
-        """Applies new limits: buckets keep their tokens up to the new depth; that of a new class is full."""
+        """Apply new limits: buckets keep their tokens up to the new depth; that of a new class is full."""
         previous_buckets, previous_shared = self.class_buckets, self.shared
         self.config = config
         self.class_buckets = {}
@@ -62,12 +62,12 @@
         self.shared.tokens = min(self.shared.depth, self.shared.tokens + overflow)
 
     def reserved_for_higher_ranks(self, rank: int) -> int:
-        """Returns the shared tokens that a class of this rank has to leave to classes of higher worth."""
+        """Return the shared tokens that a class of this rank has to leave to classes of higher worth."""
         lowest_rank = max((c.rank for c in self.config.classes.values()), default=0)
         return self.shared.depth * rank // (2 * (lowest_rank + 1)) if lowest_rank else 0
 
     def try_acquire(self, class_name: str, surplus_only: bool = False) -> bool:
-        """Takes the tokens for one set-up, from the class's own bucket first; false if there are too few.
+        """Take the tokens for one set-up, from the class's own bucket first; false if there are too few.
 
         With ``surplus_only`` a quarter of each bucket is left to others.
         """
@@ -86,7 +86,7 @@
         return True
 
     def time_to_set_up_ns(self, class_name: str) -> int:
-        """Returns the time until the class's own rate provides the tokens for one set-up."""
+        """Return the time until the class's own rate provides the tokens for one set-up."""
         own = self.class_buckets[class_name]
         return (
             max(0, SET_UP_COST - own.tokens) * NANOS_PER_UNIT // (own.rate or max(1, self.config.rate // 20))
--- a/arrowrail/limits/config.py
+++ b/arrowrail/limits/config.py
@@ -37,7 +37,7 @@
     max_retry_after_ns: int  # upper bound of the delay sent to a refused caller; 0: none is sent
 
     def bucket_depth(self, rate: int) -> int:
-        """Returns the capacity of a bucket in tokens: one burst, and at least one set-up."""
+        """Return the capacity of a bucket in tokens: one burst, and at least one set-up."""
         return max(SET_UP_COST, rate * self.burst_ns // NANOS_PER_UNIT)
 
 
@@ -50,7 +50,7 @@
     shares: Mapping[str, tuple[Fraction, Fraction]],
     max_retry_after_ns: int,
 ) -> LimitsConfig:
-    """Builds the limits from configured values: ``worths`` by class, ``shares`` (open, rate) where stated.
+    """Build the limits from configured values: ``worths`` by class, ``shares`` (open, rate) where stated.
 
     The configuration check ensures that stated shares add up to at most 1; larger sums are scaled down
     proportionally, so that the reserved capacity never exceeds the total.
--- a/arrowrail/limits/connections.py
+++ b/arrowrail/limits/connections.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from fractions import Fraction
 
-DECAY_WINDOW_NS = 1_000_000_000  # ns: the count of admitted set-ups halves with each window
+DECAY_WINDOW_NS = 1_000_000_000  # the count of admitted set-ups halves with each window
 FAIRNESS_SLACK = 4  # admitted set-ups of a window that are not held against a connection
 ACTIVE_NS = 2 * DECAY_WINDOW_NS  # a connection with a set-up in this time counts as active
 ACTIVE_COUNT_TTL_NS = DECAY_WINDOW_NS // 8  # how long the number of active connections is cached
@@ -21,13 +21,15 @@
 
 @dataclass(slots=True)
 class ConnectionUsage:
+    """Open and recent set-ups of one connection, or of all together."""
+
     open_count: int = 0
     admitted: int = 0  # recently admitted set-ups, halved with each window
     window_start: int = 0
     last_set_up: int = 0  # time of the last set-up, admitted or not
 
     def recent_admitted(self, now: int) -> int:
-        """Applies the decay of the elapsed windows and returns the count of recently admitted set-ups."""
+        """Apply the decay of the elapsed windows and return the count of recently admitted set-ups."""
         windows = (now - self.window_start) // DECAY_WINDOW_NS
         if windows > 0:
             self.admitted >>= min(windows, 64)
@@ -96,7 +98,7 @@
             usage.open_count -= 1
 
     def evict_idle(self, now: int) -> None:
-        """Removes connections without open set-ups and without recent ones."""
+        """Remove connections without open set-ups and without recent ones."""
         for connection, usage in list(self._usage.items()):
             if (
                 usage.open_count == 0
--- a/arrowrail/limits/limiter.py
+++ b/arrowrail/limits/limiter.py
@@ -81,7 +81,7 @@
         self._last_eviction = now
 
     def update_config(self, config: LimitsConfig, now: int) -> None:
-        """Applies new limits; open set-ups stay counted, even where they exceed the new limit."""
+        """Apply new limits; open set-ups stay counted, even where they exceed the new limit."""
         self.config = config
         self.rate_limiter.refill(now)
         self.rate_limiter.update_config(config)
@@ -89,7 +89,7 @@
             self.demand.setdefault(name, ClassDemand(window_start=now))
 
     def admit(self, now: int, class_name: str, connection: object) -> AdmissionResult:
-        """Admits or refuses a set-up on a connection; an unknown class counts as the one of lowest worth."""
+        """Admit or refuse a set-up on a connection; an unknown class counts as the one of lowest worth."""
         limit = self.config.classes.get(class_name) or max(self.config.classes.values(), key=lambda c: c.rank)
         if now - self._last_eviction > EVICTION_INTERVAL_NS:
             self._last_eviction = now
@@ -141,7 +141,7 @@
         return free > kept_free + trunk_reservation
 
     def set_up_ended(self, now: int, class_name: str, connection: object, duration_ns: int) -> None:
-        """Records that an admitted set-up got its final answer or was abandoned by its caller."""
+        """Record that an admitted set-up got its final answer or was abandoned by its caller."""
         limit = self.config.classes.get(class_name) or max(self.config.classes.values(), key=lambda c: c.rank)
         demand = self.demand[limit.name]
         demand.open_count = max(0, demand.open_count - 1)
@@ -150,7 +150,7 @@
         self._mean_set_up_ns += (duration_ns - self._mean_set_up_ns) // 16
 
     def _refuse(self, now: int, reason: str, limit: ClassLimit) -> AdmissionResult:
-        """Refuses a set-up; retry delays spread callers at the rate at which they can be admitted."""
+        """Refuse a set-up; retry delays spread callers at the rate at which they can be admitted."""
         self.refused_count[reason] = self.refused_count.get(reason, 0) + 1
         backlog, updated_at = self._retry_backlog.get(limit.name, (0, now))
         # Callers refused earlier retry in order: the backlog drains at the class's rate.
--- a/arrowrail/pools/config.py
+++ b/arrowrail/pools/config.py
@@ -19,6 +19,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolConfig:
+    """Exchanges that share calls by weight."""
+
     name: str
     members: tuple[PoolMember, ...]
     min_share: Fraction  # the pool needs no fallback while this share of its weight is in use
@@ -55,7 +57,7 @@
 
 
 def find_district(district_by_prefix: Mapping[str, str], number: str, max_prefix_length: int) -> str:
-    """Returns the district with the longest matching prefix, or an empty string if no prefix matches."""
+    """Return the district with the longest matching prefix, or an empty string if no prefix matches."""
     for length in range(min(max_prefix_length, len(number)), 0, -1):
         district = district_by_prefix.get(number[:length])
         if district is not None:
@@ -64,7 +66,7 @@
 
 
 def fallback_order(pools: Mapping[str, Iterable[str]], first: str) -> tuple[str, ...]:
-    """Returns a pool and its direct and indirect fallbacks in breadth-first order, each once."""
+    """Return a pool and its direct and indirect fallbacks in breadth-first order, each once."""
     order: list[str] = []
     pending = [first]
     while pending:
--- a/arrowrail/pools/health.py
+++ b/arrowrail/pools/health.py
@@ -11,12 +11,14 @@
 from dataclasses import dataclass
 
 EJECTION_THRESHOLD = 3  # consecutive attempts without a connection before an exchange is ejected
-BASE_EJECTION_NS = 2_000_000_000  # ns; doubled with each failed trial
+BASE_EJECTION_NS = 2_000_000_000  # doubled with each failed trial
 MAX_EJECTION_NS = 30_000_000_000
 
 
 @dataclass(slots=True)
 class ExchangeHealth:
+    """Consecutive connect failures of one exchange, and its ejection or trial."""
+
     consecutive_failures: int = 0
     ejected_until: int = 0  # 0: in use
     ejection_ns: int = BASE_EJECTION_NS
@@ -26,7 +28,7 @@
         return self.ejected_until == 0 or self.on_trial
 
     def record_connect_failure(self, now: int) -> bool:
-        """Records an attempt that found no connection; returns whether it ejects the exchange."""
+        """Record an attempt that found no connection; return whether it ejects the exchange."""
         self.consecutive_failures += 1
         if self.on_trial:
             self.ejection_ns = min(2 * self.ejection_ns, MAX_EJECTION_NS)
@@ -37,9 +39,9 @@
         return True
 
     def record_answer(self) -> bool:
-        """Records an answer, refusal or later disconnection: each proves that the exchange is reachable.
+        """Record an answer, refusal or later disconnection: each proves that the exchange is reachable.
 
-        Returns whether this ends an ejection or a trial.
+        Return whether this ends an ejection or a trial.
         """
         restored = self.ejected_until != 0
         self.consecutive_failures, self.ejected_until, self.on_trial, self.ejection_ns = (
@@ -51,7 +53,7 @@
         return restored
 
     def start_trial_if_due(self, now: int) -> bool:
-        """Starts the trial once the ejection time is over; returns whether it has just started."""
+        """Start the trial once the ejection time is over; return whether it has just started."""
         if self.ejected_until == 0 or self.on_trial or now < self.ejected_until:
             return False
         self.on_trial = True
--- a/arrowrail/pools/route_table.py
+++ b/arrowrail/pools/route_table.py
@@ -57,7 +57,7 @@
     # --- Updates ----------------------------------------------------------------------------------------
 
     def update_config(self, config: RoutingConfig) -> dict[str, RouteAvailability]:
-        """Applies a new configuration; returns the routes whose exchanges have changed."""
+        """Apply a new configuration; return the routes whose exchanges have changed."""
         self.config = config
         self._max_prefix_length = max((len(p) for p in config.district_by_prefix), default=0)
         self._rotation_weights = {r: w for r, w in self._rotation_weights.items() if r in config.routes}
@@ -70,7 +70,7 @@
         return removed | self._recompute()
 
     def update_states(self, states: Iterable[tuple[int, str]]) -> dict[str, RouteAvailability]:
-        """Applies list updates: an exchange is in service, draining or gone."""
+        """Apply list updates: an exchange is in service, draining or gone."""
         for exchange, state in states:
             if self._listed_states.get(exchange) != state:
                 self._listed_states[exchange] = state
@@ -79,12 +79,12 @@
         return self._recompute()
 
     def record_connect_failure(self, now: int, exchange: int) -> dict[str, RouteAvailability]:
-        """Records an attempt that found no connection to the exchange."""
+        """Record an attempt that found no connection to the exchange."""
         health = self._health.setdefault(exchange, ExchangeHealth())
         return self._recompute() if health.record_connect_failure(now) else {}
 
     def record_answer(self, exchange: int) -> dict[str, RouteAvailability]:
-        """Records an attempt that got any answer from the exchange."""
+        """Record an attempt that got any answer from the exchange."""
         health = self._health.get(exchange)
         if health is None:
             return {}
@@ -93,7 +93,7 @@
         return self._recompute() if restored else {}
 
     def set_probe_failures(self, exchanges: Iterable[int]) -> dict[str, RouteAvailability]:
-        """Sets the exchanges whose probes by other instances failed: used only where a route has no other.
+        """Set the exchanges whose probes by other instances failed: used only where a route has no other.
 
         A fault of the probing instance itself must not take every exchange out of use.
         """
@@ -104,7 +104,7 @@
         return self._recompute()
 
     def start_due_trials(self, now: int) -> dict[str, RouteAvailability]:
-        """Makes exchanges whose ejection time is over available for a trial."""
+        """Make exchanges whose ejection time is over available for a trial."""
         started = [h for h in self._health.values() if h.start_trial_if_due(now)]
         return self._recompute() if started else {}
 
@@ -130,7 +130,7 @@
         return self._availability.get(route, RouteAvailability((), (), CLASS_NOT_CARRIED))
 
     def route_call(self, class_name: str, number: str, district: str = "") -> RoutingResult:
-        """Returns the route and first choice of a call; a given district overrides that of the number."""
+        """Return the route and first choice of a call; a given district overrides that of the number."""
         district = district or find_district(self.config.district_by_prefix, number, self._max_prefix_length)
         if not district:
             return RoutingResult(failure_reason=NO_DISTRICT)
@@ -184,7 +184,7 @@
         )
 
     def _select_pools(self, route: RouteConfig, states: tuple[str, ...]) -> RouteAvailability:
-        """Adds pools in fallback order until the weight in use reaches the first pool's minimum."""
+        """Add pools in fallback order until the weight in use reaches the first pool's minimum."""
         exchanges: list[int] = []
         pools: list[str] = []
         descriptions: list[str] = []
