--- a/arrowrail/wire/bad_input.py
+++ b/arrowrail/wire/bad_input.py
@@ -23,7 +23,9 @@
         self._timer: Timer | None = None
 
     def update(self, pending: bool, completed: bool) -> None:
-        """Called after each read, with whether a message is incomplete and whether one was completed."""
+        """Start or cancel the timeout; to be called after each read.
+
+        ``pending``: a message is incomplete; ``completed``: at least one was completed by this read."""
         if self._timer is not None and (completed or not pending):
             self.cancel()
         if pending and self._timer is None:
--- a/arrowrail/wire/binary/backend.py
+++ b/arrowrail/wire/binary/backend.py
@@ -49,7 +49,7 @@
     # --- From the core ----------------------------------------------------------------------------------
 
     def endpoint_changed(self, endpoint: Endpoint) -> None:
-        """Opens, drains or closes the connections to an endpoint according to its state.
+        """Open, drain or close the connections to an endpoint according to its state.
 
         Connections open before the first set-up, because the server reports its trunk group state on them.
         """
@@ -77,7 +77,7 @@
         return pool
 
     def _discard_queued_set_ups(self, pool: ConnectionPool) -> None:
-        """Fails set-ups that are still queued: a draining endpoint must not receive them later.
+        """Fail set-ups that are still queued: a draining endpoint must not receive them later.
 
         Without this they would be written as soon as the peer reads again.
         """
@@ -102,7 +102,7 @@
         self._pool(endpoint).least_loaded(params.call_id).send_set_up(params.call_id, binary.encode(message))
 
     def cancel_set_up(self, endpoint: Endpoint, call_id: str) -> None:
-        """Discards the set-up if it is still queued, otherwise sends a release for it."""
+        """Discard the set-up if it is still queued, otherwise send a release for it."""
         pool = self.pools.get(endpoint.endpoint_id)
         connection = pool.find_connection(call_id) if pool is not None else None
         if connection is None:
@@ -125,9 +125,9 @@
     def probe(
         self, endpoint: Endpoint, fencing_token: str, timeout_ns: int, on_result: Callable[[bool], None]
     ) -> bool:
-        """Sends a probe with a fencing token; ``on_result`` is called once, with whether it succeeded.
+        """Send a probe with a fencing token; ``on_result`` is called once, with whether it succeeded.
 
-        Returns false if no connection is up, so that nothing was sent.
+        Return false if no connection is up, so that nothing was sent.
         """
         pool = self.pools.get(endpoint.endpoint_id)
         connection = pool.least_loaded() if pool is not None else None
--- a/arrowrail/wire/binary/connection.py
+++ b/arrowrail/wire/binary/connection.py
@@ -48,7 +48,7 @@
         "parser",
         "pending_set_ups",
         "pool",
-        "reconnect",
+        "reconnect_timer",
         "stream",
         "unacknowledged_releases",
     )
@@ -61,7 +61,7 @@
         self.parser = binary.BinaryParser()
         self.pending_set_ups: dict[str, bytes] = {}  # unanswered set-ups by call id, queued or sent
         self.unacknowledged_releases: dict[str, Release] = {}  # written here, not confirmed by the server
-        self.reconnect = ReconnectTimer(pool.backend.loop, self.open)
+        self.reconnect_timer = ReconnectTimer(pool.backend.loop, self.open)
         self.message_timeout = MessageTimeout(pool.backend.loop, MESSAGE_TIMEOUT_NS, self._on_message_timeout)
 
     @property
@@ -71,7 +71,7 @@
     def open(self) -> None:
         if self.stream is not None or not self.pool.in_use:
             return
-        self.reconnect.cancel()
+        self.reconnect_timer.cancel()
         self.parser = binary.BinaryParser()
         try:
             self.stream = connect(self.pool.backend.loop, self, self.endpoint.entry.address)
@@ -80,12 +80,12 @@
             error = failure if isinstance(failure, OSError) else OSError(errno.EINVAL, str(failure))
             self.pool.backend.loop.timers.schedule(self.pool.backend.loop.now, partial(self.lost, error))
             return
-        self.reconnect.start_connect_timeout(self.pool.backend.connect_timeout_ns, self.stream)
+        self.reconnect_timer.start_connect_timeout(self.pool.backend.connect_timeout_ns, self.stream)
 
     def connected(self) -> None:
         self.opened_ns, self.has_received = self.pool.backend.loop.now, False
         self.pool.monitor.connected(self.opened_ns)
-        self.reconnect.reset_backoff()
+        self.reconnect_timer.reset_backoff()
         self.pool.flush_releases(self)
 
     def received(self, data: bytes) -> None:
@@ -124,7 +124,7 @@
             releases, self.unacknowledged_releases = self.unacknowledged_releases, {}
             self.pool.queue_releases([r for r in releases.values() if r.written_ns > since])
         if self.endpoint.entry.state != TERMINATED:
-            self.reconnect.schedule()
+            self.reconnect_timer.schedule()
             self.pool.connection_failed(error)
         never_up = stream is None or stream.connecting
         for call_id, data in pending.items():
@@ -144,7 +144,7 @@
             self.stream.send(data, call_id)
 
     def send_release(self, call_id: str, data: bytes) -> None:
-        """Writes a release and remembers it until the server confirms it, which the server may omit."""
+        """Write a release and remember it until the server confirms it, which the server may omit."""
         if self.stream is None:
             return
         self.unacknowledged_releases[call_id] = Release(call_id, data, self.pool.backend.loop.now)
@@ -153,7 +153,7 @@
         self.stream.send(data)
 
     def close(self) -> None:
-        self.reconnect.cancel()
+        self.reconnect_timer.cancel()
         self.message_timeout.cancel()
         stream, self.stream = self.stream, None
         if stream is not None:
@@ -201,8 +201,8 @@
     def open(self) -> None:
         super().open()
         if self.stream is not None:
-            self.reconnect.cancel()
-            self.reconnect.start_connect_timeout(CHECK_TIMEOUT_NS, self.stream)
+            self.reconnect_timer.cancel()
+            self.reconnect_timer.start_connect_timeout(CHECK_TIMEOUT_NS, self.stream)
 
     def connected(self) -> None:
         super().connected()
@@ -221,7 +221,7 @@
         was_up, was_closing = self.up, self.stream is not None and self.stream.closing
         self.stream = None
         self.message_timeout.cancel()
-        self.reconnect.cancel()
+        self.reconnect_timer.cancel()
         self._log_disconnect(was_up, error, 0)
         if self in self.pool.checks:
             self.pool.checks.remove(self)
--- a/arrowrail/wire/binary/messages.py
+++ b/arrowrail/wire/binary/messages.py
@@ -25,6 +25,8 @@
 
 @dataclass(frozen=True, slots=True)
 class BinaryMessage:
+    """A message of any type; parameters that it does not carry have their defaults."""
+
     message_type: int
     call_id: int
     cause: int = 0
@@ -57,7 +59,7 @@
         return self._buffer[:16].hex()
 
     def feed(self, data: bytes) -> list[BinaryMessage]:
-        """Returns the complete messages; raises ``BinaryError`` at the first invalid one."""
+        """Return the complete messages; raise ``BinaryError`` at the first invalid one."""
         self._buffer += data
         messages = []
         while len(self._buffer) >= 2:
--- a/arrowrail/wire/binary/pool.py
+++ b/arrowrail/wire/binary/pool.py
@@ -71,7 +71,7 @@
         )
 
     def set_up_interrupted(self, call_id: str, data: bytes, never_up: bool, unsent: bool) -> None:
-        """Resends, releases or fails a set-up whose connection broke before the answer or never came up."""
+        """Resend, release or fail a set-up whose connection broke before the answer or never came up."""
         other = self.least_loaded()
         if unsent and other.up and self.endpoint.entry.state == IN_SERVICE:
             other.send_set_up(call_id, data)  # no byte was written: it continues as the same attempt
@@ -102,16 +102,16 @@
         return state == IN_SERVICE
 
     def _close_drained(self) -> None:
-        """Half-closes connections that are no longer needed; they are read until the peer closes them."""
+        """Half-close connections that are no longer needed; they are read until the peer closes them."""
         for connection in self.connections:
-            connection.reconnect.cancel()
+            connection.reconnect_timer.cancel()
             if connection.stream is not None and connection.stream.connecting:
                 connection.stream.fail(None)
             elif connection.stream is not None and connection.stream.flushed:
                 ClosingConnection(self).take_over(connection)
 
     def connection_failed(self, error: OSError | None) -> None:
-        """Reports refused connections to the monitor; a refusal while no other is up means a dead process."""
+        """Report refused connections to the monitor; a refusal while no other is up means a dead process."""
         if error is None or error.errno != errno.ECONNREFUSED:
             return
         if any(connection.up for connection in self.connections):
@@ -127,7 +127,7 @@
             self.connection_failed(error)
 
     def check_server(self) -> None:
-        """Ends the calls of a lost server, and starts a reachability check of a silent one with calls."""
+        """End the calls of a lost server, and start a reachability check of a silent one with calls."""
         now, core = self.backend.loop.now, self.backend.core
         loss = self.monitor.detect_loss(now)
         if loss is not None:
@@ -142,7 +142,7 @@
                 self.checks[-1].open()
 
     def queue_releases(self, releases: list[Release]) -> None:
-        """Sends releases that may not have arrived again, on another connection or the next one to open."""
+        """Send releases again that may not have arrived, on another connection or the next one to open."""
         self.pending_releases = [*self.pending_releases, *releases][-MAX_PENDING:]
         connection = self.least_loaded()
         if connection.up:
@@ -156,7 +156,7 @@
                 connection.send_release(release.call_id, release.data)
 
     def release(self, call_id: str, cause: int) -> None:
-        """Releases a call, or a set-up that the server may have accepted."""
+        """Release a call, or a set-up that the server may have accepted."""
         connection = self.least_loaded()
         data = binary.encode(BinaryMessage(binary.RELEASE, int(call_id, 16), cause=cause))
         if connection.stream is None:
@@ -166,10 +166,10 @@
             connection.send_release(call_id, data)
 
     def close(self) -> None:
-        """Closes all connections; messages already queued on those without pending set-ups still go out."""
+        """Close all connections; messages already queued on those without pending set-ups still go out."""
         for connection in self.connections:
             if connection.up and connection.stream is not None and not connection.pending_set_ups:
-                connection.reconnect.cancel()
+                connection.reconnect_timer.cancel()
                 ClosingConnection(self).take_over(connection)
             else:
                 connection.close()
--- a/arrowrail/wire/bus/client.py
+++ b/arrowrail/wire/bus/client.py
@@ -24,6 +24,8 @@
 
 
 class BusClient:
+    """Passes the list updates of the bus to the core, each once and in order."""
+
     def __init__(self, loop: Loop, core: Core, address: str) -> None:
         self.loop, self.core, self.address = loop, core, address
         self.last_offset = 0
@@ -36,7 +38,7 @@
         self._streaming = False  # whether the last log event says that the stream is being read
 
     def start(self, known: list[BusEvent], offset: int) -> None:
-        """Applies the events of the configuration, then reads the stream from ``offset`` on."""
+        """Apply the events of the configuration, then read the stream from ``offset`` on."""
         for event in known:
             self._apply(event)
         self.last_offset = max(self.last_offset, offset)
@@ -44,7 +46,7 @@
             self.open()
 
     def change_address(self, address: str) -> None:
-        """Continues at another address from the last offset read: the bus there uses the same offsets."""
+        """Continue at another address from the last offset read: the bus there uses the same offsets."""
         if address == self.address:
             return
         self.address, self.backoff_ns = address, MIN_BACKOFF_NS
--- a/arrowrail/wire/bus/messages.py
+++ b/arrowrail/wire/bus/messages.py
@@ -86,7 +86,7 @@
 
 
 def event_from_json(value: Any) -> BusEvent:
-    """Decodes an event of the stream or of ``known``; an event without a topology is an empty update."""
+    """Decode an event of the stream or of ``known``; an event without a topology is an empty update."""
     try:
         topology = value.get("topology") or {}
         targets = topology.get("targets") or ()
@@ -100,7 +100,7 @@
 
 
 def _read_entry(target: Any) -> EndpointEntry | None:
-    """Skips an invalid entry: failing on it would request its event forever and lose all later events."""
+    """Skip an invalid entry: failing on it would request its event forever and lose all later events."""
     try:
         return entry_from_json(target)
     except (AttributeError, KeyError, TypeError, ValueError) as error:
@@ -109,7 +109,7 @@
 
 
 def entry_from_json(target: Any) -> EndpointEntry:
-    """Decodes an endpoint; an invalid field raises one of the errors of ``_read_entry``."""
+    """Decode an endpoint; an invalid field raises one of the errors of ``_read_entry``."""
     state = str(target["state"])
     if state not in STATES:
         raise ValueError(f"unknown state {state!r}")
--- a/arrowrail/wire/etcd/client.py
+++ b/arrowrail/wire/etcd/client.py
@@ -50,7 +50,7 @@
         self._restart_silence_timer(RANGE_TIMEOUT_NS)
 
     def change_source(self, address: str, prefix: str) -> None:
-        """Reads the list at another address or prefix; its range shows which entries differ."""
+        """Read the list at another address or prefix; its range shows which entries differ."""
         if (address, prefix) == (self.address, self.prefix):
             return
         self.address, self.prefix, self.backoff_ns = address, prefix, MIN_BACKOFF_NS
@@ -77,7 +77,7 @@
             self._disconnect(None)
 
     def _receive_range(self, body: bytes) -> None:
-        """Collects the range response; once it is complete, applies it and starts the watch."""
+        """Collect the range response; once it is complete, apply it and start the watch."""
         self._range_body += body
         if len(self._range_body) > etcd.MAX_RESPONSE_SIZE:
             raise etcd.EtcdError("range response exceeds the size limit")
--- a/arrowrail/wire/etcd/messages.py
+++ b/arrowrail/wire/etcd/messages.py
@@ -35,7 +35,7 @@
 
 
 def range_end(prefix: bytes) -> bytes:
-    """Returns the end of the key range with this prefix (exclusive), computed as etcd's clients do."""
+    """Return the end of the key range with this prefix (exclusive), computed as etcd's clients do."""
     for index in range(len(prefix) - 1, -1, -1):
         if prefix[index] < 0xFF:
             return prefix[:index] + bytes((prefix[index] + 1,))
@@ -63,7 +63,7 @@
 
 
 def read_range(body: bytes) -> ListUpdate:
-    """Decodes the complete list and the revision at which it was read.
+    """Decode the complete list and the revision at which it was read.
 
     A key with an invalid value is skipped, so that one bad entry does not hide the others.
     """
@@ -118,7 +118,7 @@
 
 
 def _read_entry(kv: dict[str, Any]) -> EndpointEntry | None:
-    """Decodes an entry: its value is that of an event bus target, its uid is the last part of the key."""
+    """Decode an entry: its value is that of an event bus target, its uid is the last part of the key."""
     try:
         value = orjson.loads(base64.b64decode(kv["value"]))
         return entry_from_json({"uid": _uid(base64.b64decode(kv["key"]).decode()), **value})
--- a/arrowrail/wire/http.py
+++ b/arrowrail/wire/http.py
@@ -10,6 +10,8 @@
 
 
 class ResponseBodyParser:
+    """Extracts the body of a response whose bytes arrive in pieces; serves as callbacks of httptools."""
+
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._chunks: list[bytes] = []
@@ -22,7 +24,7 @@
         self.complete = True
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the part of the response body that ``data`` contains."""
+        """Return the part of the response body that ``data`` contains."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
--- a/arrowrail/wire/listener.py
+++ b/arrowrail/wire/listener.py
@@ -40,7 +40,7 @@
         self.resume()
 
     def resume(self) -> None:
-        """Accepts again after a pause; to be called when a connection has closed."""
+        """Accept again after a pause; to be called when a connection has closed."""
         if self._paused:
             self._paused = False
             self._loop.watch(self._sock, READ, self._accept)
--- a/arrowrail/wire/m3ua/association.py
+++ b/arrowrail/wire/m3ua/association.py
@@ -35,6 +35,8 @@
 
 @dataclass(frozen=True, slots=True)
 class M3uaSettings:
+    """The settings that all associations share."""
+
     point_code: int  # this controller's own
     routing_context: int | None
     network_appearance: int | None
@@ -52,6 +54,8 @@
 
 
 class Association:
+    """One association, from the opening of its connection to its end."""
+
     def __init__(self, loop: Loop, settings: M3uaSettings, handler: AssociationHandler, is_asp: bool) -> None:
         self.loop, self.settings, self.handler = loop, settings, handler
         self.is_asp = is_asp  # whether this side connects and sends ASPUP
@@ -64,7 +68,7 @@
         self._heartbeat_timer: Timer | None = None
         self._last_received_ns = loop.now
         self.protocol_error_warning = RateLimitedWarning(loop)
-        self._message_timeout = MessageTimeout(loop, MESSAGE_TIMEOUT_NS, self._message_timed_out)
+        self._message_timeout = MessageTimeout(loop, MESSAGE_TIMEOUT_NS, self._on_message_timeout)
 
     # --- The connection ---------------------------------------------------------------------------------
 
@@ -97,8 +101,8 @@
             if self.stream is None or not self.stream.open:
                 return
 
-    def _message_timed_out(self) -> None:
-        """Disconnects: an incomplete message would block all later ones, however slowly its bytes arrive."""
+    def _on_message_timeout(self) -> None:
+        """Disconnect: an incomplete message would block all later ones, however slowly its bytes arrive."""
         if self.stream is not None:
             self.stream.fail(OSError(errno.ETIMEDOUT, "incomplete message"))
 
@@ -111,7 +115,7 @@
         self.handler.association_lost(self, error)
 
     def close(self) -> None:
-        """Closes gracefully; an ASP that is up sends ASPDN first."""
+        """Close gracefully; an ASP that is up sends ASPDN first."""
         stream = self.stream
         if stream is not None:
             if self.is_asp and self.state != DOWN:
@@ -139,7 +143,7 @@
         return self._last_received_ns
 
     def check_peer(self) -> None:
-        """Sends an extra heartbeat and disconnects if the peer sends nothing in time after it."""
+        """Send an extra heartbeat and disconnect if the peer sends nothing in time after it."""
         if self._check_timer is not None or self.state == DOWN:
             return
         self._send_heartbeat()
@@ -158,7 +162,7 @@
         self._send(m3ua.encode(Message(MessageType.BEAT, parameters)))
 
     def _heartbeat_due(self) -> None:
-        """Disconnects if the peer has vanished or stalled, otherwise sends the next heartbeat."""
+        """Disconnect if the peer has vanished or stalled, otherwise send the next heartbeat."""
         silent_ns = self.loop.now - self._last_received_ns
         if silent_ns > MAX_MISSED_HEARTBEATS * self.settings.heartbeat_interval_ns:
             if self.stream is not None:
--- a/arrowrail/wire/m3ua/backend.py
+++ b/arrowrail/wire/m3ua/backend.py
@@ -77,7 +77,7 @@
         self.reconnect_timer.start_connect_timeout(self.backend.connect_timeout_ns, stream)
 
     def association_active(self, association: Association) -> None:
-        """Sends the set-ups that waited for the handshake, and the releases that are still unconfirmed."""
+        """Send the set-ups that waited for the handshake, and the releases that are still unconfirmed."""
         self.reconnect_timer.reset_backoff()
         self.monitor.connected(self.backend.loop.now)
         for call in list(self.calls_by_cic.values()):
@@ -88,7 +88,7 @@
         self.report_circuits()
 
     def association_lost(self, association: Association, error: OSError | None) -> None:
-        """Fails the unanswered set-ups. Established calls do not depend on the association."""
+        """Fail the unanswered set-ups.  Established calls do not depend on the association."""
         if self.association is not association:
             return
         stream, self.association = association.stream, None
@@ -118,7 +118,7 @@
         self.check_server()
 
     def check_server(self) -> None:
-        """Ends the calls of a server that is gone; sends a heartbeat to a silent one that has calls."""
+        """End the calls of a server that is gone; send a heartbeat to a silent one that has calls."""
         now, core = self.backend.loop.now, self.backend.core
         association = self.association
         if association is not None and association.state == ACTIVE:
@@ -178,9 +178,9 @@
             self.association.send_isup(self.endpoint.entry.point_code, iam, call.call_id)
 
     def discard_set_up(self, call_id: str) -> bool:
-        """Discards the set-up of a call that has ended, or whose exchange drains, if it is still unsent.
+        """Discard the set-up of a call that has ended, or whose exchange drains, if it is still unsent.
 
-        Returns whether it was discarded.
+        Return whether it was discarded.
         """
         call = self.active_calls.get(call_id)
         if call is None or call.answered:
@@ -197,7 +197,7 @@
             self._send_release(call, cause)
 
     def _send_release(self, call: OutgoingCall, cause: int) -> None:
-        """Sends REL, and again each T1 until the RLC, which makes its circuits idle."""
+        """Send REL, and again each T1 until the RLC, which makes its circuits idle."""
         call.clearing = True
         if self.association is not None and self.association.state == ACTIVE:
             self.association.send_isup(
@@ -272,7 +272,7 @@
         self._mappings_by_class = {mapping.class_name: mapping for mapping in reversed(class_mappings)}
 
     def bearer_of(self, class_name: str) -> tuple[int, int]:
-        """Returns the calling party's category and the transmission medium requirement of a class."""
+        """Return the calling party's category and the transmission medium requirement of a class."""
         mapping = self._mappings_by_class.get(class_name)
         category = mapping.category if mapping is not None and mapping.category is not None else 0x0A
         return category, (
--- a/arrowrail/wire/m3ua/causes.py
+++ b/arrowrail/wire/m3ua/causes.py
@@ -61,7 +61,7 @@
 
 
 def release_cause(response: FinalResponse) -> int:
-    """Returns the Q.850 cause of the release that a refused or failed call ends with."""
+    """Return the Q.850 cause of the release that a refused or failed call ends with."""
     cause = response.cause % 16 if response.cause != 18 else 18  # the part above 16 is a retry delay
     causes = FAILED_CAUSES if response.result == FAILED else REFUSED_CAUSES
     for key in ((response.outcome, cause), (response.outcome, None)):
@@ -71,7 +71,7 @@
 
 
 def release_outcome(cause: int) -> ReleaseOutcome:
-    """Returns the outcome of a release by an exchange, before and after its answer."""
+    """Return the outcome of a release by an exchange, before and after its answer."""
     mapping = MAPPING_BY_CAUSE.get(cause, UNSPECIFIED)
     return ReleaseOutcome(
         mapping.outcome,
--- a/arrowrail/wire/m3ua/frontend.py
+++ b/arrowrail/wire/m3ua/frontend.py
@@ -57,7 +57,7 @@
     def update_mappings(
         self, class_mappings: tuple[ClassMapping, ...], prefix_mappings: tuple[PrefixMapping, ...]
     ) -> None:
-        """Uses these mappings for new calls; existing calls keep theirs."""
+        """Use these mappings for new calls; existing calls keep theirs."""
         self.class_mappings = class_mappings
         # Longest prefix first, as the first match is used.
         self.prefix_mappings = sorted(prefix_mappings, key=lambda mapping: -len(mapping.prefix))
@@ -67,15 +67,15 @@
         self.listener = Listener(
             self.loop,
             self.address,
-            self._accepted,
+            self._on_accepted,
             lambda: len(self.associations) < MAX_CLIENTS,
             self._evict_idle,
         )
 
     def _evict_idle(self) -> bool:
-        """Closes an association without a handshake, so that silent peers do not take the place of clients.
+        """Close an association without a handshake, so that silent peers do not take the place of clients.
 
-        Returns whether there was one.
+        Return whether there was one.
         """
         down = [
             association
@@ -88,14 +88,14 @@
 
     # --- Associations -----------------------------------------------------------------------------------
 
-    def _accepted(self, sock: socket.socket) -> None:
+    def _on_accepted(self, sock: socket.socket) -> None:
         association = Association(self.loop, self.settings, self, False)
         association.handle = self.associations.add(association)
         association.stream = Stream(self.loop, sock, association)
         association.connected()
 
     def association_active(self, association: Association) -> None:
-        """Sends the releases that found no active association; any association may carry them."""
+        """Send the releases that found no active association; any association may carry them."""
         for circuit in list(self.circuits.values()):
             own_association = self.associations.get(circuit.association_handle)
             if circuit.clearing and (own_association is None or own_association.state != ACTIVE):
@@ -203,7 +203,7 @@
             self._send_release(circuit, cause)
 
     def release_unknown(self, call_id: str, cause: int) -> None:
-        """Does nothing: the circuit of a call from before a restart is not known."""
+        """Do nothing: the circuit of a call from before a restart is not known."""
 
     @property
     def connections(self) -> int:
@@ -221,7 +221,7 @@
         return self.circuits.get(key) if key is not None else None
 
     def _send_release(self, circuit: Circuit, cause: int, congestion: int = 0) -> None:
-        """Sends REL on the circuit's association, else on any active one, and repeats it each T1."""
+        """Send REL on the circuit's association, else on any active one, and repeat it each T1."""
         circuit.clearing, circuit.established = True, False
         association = self.associations.get(circuit.association_handle)
         if association is None or association.state != ACTIVE:
--- a/arrowrail/wire/m3ua/isup.py
+++ b/arrowrail/wire/m3ua/isup.py
@@ -22,6 +22,8 @@
 
 
 class IsupMessageType(IntEnum):
+    """Message type codes of Q.763."""
+
     IAM = 0x01
     ACM = 0x06
     ANM = 0x09
@@ -61,7 +63,7 @@
 
 
 def decode(data: bytes) -> IsupMessage | None:
-    """Decodes a message; ``None`` for a type that is not part of a basic call."""
+    """Decode a message; ``None`` for a type that is not part of a basic call."""
     if len(data) < 3:
         raise IsupError("shorter than a CIC and a type")
     cic = int.from_bytes(data[:2], "little") & CIC_MASK
@@ -95,7 +97,7 @@
 
 
 def _variable_parameter(data: bytes, offset: int) -> bytes:
-    """Returns the mandatory variable parameter whose pointer is at ``offset``."""
+    """Return the mandatory variable parameter whose pointer is at ``offset``."""
     if offset >= len(data) or data[offset] == 0:
         raise IsupError("no pointer to a mandatory parameter")
     start = offset + data[offset]
@@ -105,7 +107,7 @@
 
 
 def _optional_parameters(data: bytes, offset: int) -> dict[int, bytes]:
-    """Returns the optional parameters by code; their pointer is at ``offset``."""
+    """Return the optional parameters by code; their pointer is at ``offset``."""
     if offset >= len(data) or data[offset] == 0:
         return {}
     parameters: dict[int, bytes] = {}
@@ -151,7 +153,7 @@
 
 
 def _variable_and_optional_part(variable: bytes, optional: bytes) -> bytes:
-    """Encodes the pointers, the one mandatory variable parameter and the optional part."""
+    """Encode the pointers, the one mandatory variable parameter and the optional part."""
     optional_pointer = 1 + 1 + len(variable) if optional else 0
     return bytes((2, optional_pointer, len(variable))) + variable + optional
 
--- a/arrowrail/wire/m3ua/messages.py
+++ b/arrowrail/wire/m3ua/messages.py
@@ -83,11 +83,13 @@
 
 @dataclass(slots=True)
 class Message:
+    """A message with its parameters by tag."""
+
     message_type: MessageType
     parameters: dict[int, bytes] = field(default_factory=dict)  # the first one of each tag
 
     def uint32(self, tag: ParameterTag) -> int | None:
-        """Returns a parameter as a 32-bit number; ``None`` if it is absent or too short."""
+        """Return a parameter as a 32-bit number; ``None`` if it is absent or too short."""
         value = self.parameters.get(tag)
         return int.from_bytes(value[:4], "big") if value is not None and len(value) >= 4 else None
 
@@ -106,6 +108,8 @@
 
 
 class M3uaParser:
+    """Incremental parser: takes bytes as they arrive and returns complete messages."""
+
     __slots__ = ("_buffer",)
 
     def __init__(self) -> None:
@@ -117,7 +121,7 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Message | M3uaError]:
-        """Returns the complete messages, with an error in place of an invalid one; a fatal error is last."""
+        """Return the complete messages, with an error in place of an invalid one; a fatal error is last."""
         self._buffer += data
         messages: list[Message | M3uaError] = []
         while len(self._buffer) >= HEADER.size:
--- a/arrowrail/wire/reconnect.py
+++ b/arrowrail/wire/reconnect.py
@@ -23,7 +23,7 @@
         self._timeout_timer: Timer | None = None
 
     def start_connect_timeout(self, timeout_ns: int, stream: Stream) -> None:
-        """Fails the stream if it is not connected in time; a host that is down doesn't answer at all."""
+        """Fail the stream if it is not connected in time; a host that is down doesn't answer at all."""
         error = OSError(errno.ETIMEDOUT, "connect")
         self._timeout_timer = self._loop.timers.schedule(
             self._loop.now + timeout_ns, lambda: stream.fail(error) if stream.connecting else None
@@ -33,7 +33,7 @@
         self._backoff_ns = MIN_BACKOFF_NS
 
     def schedule(self) -> None:
-        """Schedules the next connection attempt and doubles the backoff up to its maximum."""
+        """Schedule the next connection attempt and double the backoff up to its maximum."""
         self.cancel()
         self._retry_timer = self._loop.timers.schedule(self._loop.now + self._backoff_ns, self._connect)
         self._backoff_ns = min(2 * self._backoff_ns, MAX_BACKOFF_NS)
--- a/arrowrail/wire/sip/frontend.py
+++ b/arrowrail/wire/sip/frontend.py
@@ -147,7 +147,7 @@
         )
 
     def _evict_idle(self) -> bool:
-        """Closes one connection without pending calls to make room; returns false if there is none.
+        """Close one connection without pending calls to make room; return false if there is none.
 
         Closing connections go first, then those without a request, then those that are idle for long.
         Guards against discarding a set-up unread: a new connection gets time to send its first message, and
@@ -171,7 +171,7 @@
         return False
 
     def close_gracefully(self, caller: CallerConnection) -> None:
-        """Rejects the pending calls of a connection with unusable input, and closes it."""
+        """Reject the pending calls of a connection with unusable input, and close it."""
         for call_id in list(caller.pending_calls):
             self._reject_pending(call_id, caller, 503)
         self.connection_closed(caller)
@@ -182,7 +182,7 @@
             self.listener.resume()
 
     def _reject_pending(self, call_id: str, caller: CallerConnection, status: int) -> None:
-        """Ends a pending set-up after unusable input from its caller, with its one final response."""
+        """End a pending set-up after unusable input from its caller, with its one final response."""
         dialog = self.dialogs[call_id]
         self.core.caller_abandoned(call_id)
         self._send_final_response(call_id, caller, sip.response(status, dialog.invite))
@@ -203,7 +203,7 @@
         self.loop.timers.schedule(now + SWEEP_INTERVAL_NS, self._sweep)
 
     def connection_closed(self, caller: CallerConnection) -> None:
-        """Removes a connection and abandons its pending calls; releases on it may be sent again."""
+        """Remove a connection and abandon its pending calls; releases on it may be sent again."""
         if self.callers.remove(caller.handle) is None:
             return
         caller.message_timeout.cancel()
@@ -339,7 +339,7 @@
         self._send_bye(call_id, "sip:peer@net", cause, None)
 
     def _send_bye(self, call_id: str, uri: str, cause: int, caller: CallerConnection | None) -> None:
-        """Sends a BYE; an established call is not bound to a connection, so any open one will do."""
+        """Send a BYE; an established call is not bound to a connection, so any open one will do."""
         data = sip.request("BYE", uri, self.address, call_id, 1, (("Reason", f"Q.850;cause={cause}"),))
         self.releases.send(call_id, data, caller)
 
--- a/arrowrail/wire/sip/messages.py
+++ b/arrowrail/wire/sip/messages.py
@@ -105,7 +105,7 @@
 
 
 def parse_head(head: bytes) -> tuple[SipMessage, str]:
-    """Parses the start line and headers as far as possible; also returns an error text, empty if valid."""
+    """Parse the start line and headers as far as possible; also return an error text, empty if valid."""
     message, error = SipMessage(), ""
     try:
         text = head.decode("utf-8")
@@ -141,7 +141,7 @@
 def response(
     status: int, request: SipMessage, extra_headers: Iterable[tuple[str, str]] = (), body: bytes = b""
 ) -> bytes:
-    """Encodes the response to a request, with the headers by which the caller matches it."""
+    """Encode the response to a request, with the headers by which the caller matches it."""
     lines = [f"SIP/2.0 {status} {REASON_PHRASES.get(status, 'Failure')}"]
     lines += [f"Via: {via}" for via in request.vias]
     for name, header in (("from", "From"), ("to", "To"), ("call-id", "Call-ID"), ("cseq", "CSeq")):
--- a/arrowrail/wire/sip/releases.py
+++ b/arrowrail/wire/sip/releases.py
@@ -47,7 +47,7 @@
         self._retry_at_ns = 0  # when waiting releases are tried again
 
     def send(self, call_id: str, message: bytes, caller: CallerConnection | None) -> None:
-        """Sends a release, preferably on the connection of its call."""
+        """Send a release, preferably on the connection of its call."""
         now = self.loop.now
         release = self.pending[call_id] = PendingRelease(call_id, message, now, now + RELEASE_LIFETIME_NS)
         if caller is not None and caller.stream.open:
@@ -60,13 +60,13 @@
         self.pending.pop(call_id, None)
 
     def connection_closed(self, handle: int) -> None:
-        """Queues releases again that may be lost because the caller closed the connection meanwhile."""
+        """Queue releases again that may be lost because the caller closed the connection meanwhile."""
         for release in self.pending.values():
             if release.connection_id == handle:
                 release.connection_id = 0
 
     def expire(self, now: int) -> None:
-        """Drops releases that found no connection in time, and those that had enough time to arrive."""
+        """Drop releases that found no connection in time, and those that had enough time to arrive."""
         unsent = [
             call_id
             for call_id, release in self.pending.items()
@@ -81,7 +81,7 @@
         }
 
     def deliver(self) -> None:
-        """Sends waiting releases on the most trusted open connection, and again once there is a better one.
+        """Send waiting releases on the most trusted open connection, and again once there is a better one.
 
         Guards against sending releases to peers that only hold connections open: a connection on which a call
         was answered is used at once, one that only sent a request or is new after a delay.
@@ -89,8 +89,8 @@
         if not self.pending:
             return
         now = self.loop.now
-        open_ = [caller for caller in self.callers if caller.stream.open]
-        best = max(open_, key=lambda caller: (caller.trust_level, caller.idle_since), default=None)
+        open_connections = [caller for caller in self.callers if caller.stream.open]
+        best = max(open_connections, key=lambda caller: (caller.trust_level, caller.idle_since), default=None)
         waiting = False
         for release in self.pending.values():
             if release.connection_id and (best is None or release.trust_level >= best.trust_level):
--- a/arrowrail/wire/stream.py
+++ b/arrowrail/wire/stream.py
@@ -60,7 +60,7 @@
 
 
 def connect(loop: Loop, handler: StreamHandler, address: str) -> Stream:
-    """Starts to connect; an immediate failure is reported from the event loop, like a refused connection."""
+    """Start to connect; an immediate failure is reported from the event loop, like a refused connection."""
     host, port = parse_address(address)
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
@@ -95,7 +95,7 @@
         self._update_watch()
 
     def send(self, data: bytes, tag: object = None) -> None:
-        """Queues a complete message and writes what the socket accepts.
+        """Queue a complete message and write what the socket accepts.
 
         ``tag`` identifies the message for ``is_unsent`` and ``discard_unsent``.
         """
@@ -104,7 +104,7 @@
         self._queue.append(QueuedMessage(data, tag))
         self._queued_bytes += len(data)
         if self._queued_bytes > self._max_queued_bytes:
-            # Deferred to the event loop, so that a connection doesn't close while its owner is sending on it.
+            # Deferred to the event loop: the connection must not close while its handler is sending on it.
             self.loop.timers.schedule(
                 self.loop.now,
                 lambda: self.fail(OSError(errno.ENOBUFS, "send queue limit exceeded")),
@@ -129,7 +129,7 @@
         return not self._queue
 
     def discard_unsent(self, tag: object) -> bool:
-        """Removes a queued message unless part of it has been written, which has to be completed."""
+        """Remove a queued message unless part of it has been written, which has to be completed."""
         for message in self._queue:
             if message.tag == tag and message.offset == 0:
                 self._queue.remove(message)
@@ -143,7 +143,7 @@
             self._queue.clear()
 
     def close_gracefully(self, on_closed: Callable[[], None] | None = None) -> None:
-        """Writes the queue, half-closes, and discards input until the peer closes.
+        """Write the queue, half-close, and discard input until the peer closes.
 
         Guards against losing the last message to the peer: a close with unread input resets the connection,
         and the reset can overtake data written before it.  Ends after ``LINGER_TIMEOUT_NS`` at the latest.
@@ -168,7 +168,7 @@
         self._flush()
 
     def fail(self, error: OSError | None) -> None:
-        """Closes the connection and notifies the handler, once.
+        """Close the connection and notify the handler, once.
 
         The queue is cleared afterwards, so that the handler can still ask which messages are unsent.
         """
--- a/tests/test_live_etcd.py
+++ b/tests/test_live_etcd.py
@@ -45,7 +45,7 @@
         return head.split(b" ")[1], orjson.loads(body)
 
     def answer_range(self, revision: int, *targets: dict[str, Any]) -> int:
-        """Answers a range request and accepts its watch; returns the revision that the watch starts from."""
+        """Answer a range request and accept its watch; return the revision that the watch starts from."""
         path, request = self.read_request()
         assert path == b"/v3/kv/range" and base64.b64decode(request["key"]).decode() == PREFIX
         body = orjson.dumps(
--- a/tests/test_live_m3ua.py
+++ b/tests/test_live_m3ua.py
@@ -80,7 +80,7 @@
             self.m3ua.send_isup(number, IAM, called_number="15")
 
     def final_response(self) -> tuple[int, str]:
-        """Returns the call and the result of the next final response."""
+        """Return the call and the result of the next final response."""
         if self.sip is not None:
             message = self.sip.receive(lambda m: m.status >= 200 and m.cseq_method == "INVITE")
             return int(message.call_id, 16), {200: "established", 503: "refused"}.get(
@@ -92,7 +92,7 @@
         return final.cic, "refused" if final.cause in causes.REFUSED_CAUSES.values() else "failed"
 
     def released_call(self) -> int:
-        """Returns the next established call that is released with a failure."""
+        """Return the next established call that is released with a failure."""
         if self.sip is not None:
             message = self.sip.receive(lambda m: m.method == "BYE")
             assert message.headers["reason"] == "Q.850;cause=41"
@@ -102,7 +102,7 @@
         return release.cic
 
     def assert_no_more_responses(self) -> None:
-        """Checks that the answer to a keep-alive comes without a further final response before it."""
+        """Check that the answer to a keep-alive comes without a further final response before it."""
         if self.sip is not None:
             self.sip.send("OPTIONS", "ee")
             assert self.sip.receive().call_id == "ee"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -34,7 +34,7 @@
 
 
 def parse_both_ways(make: Callable[[], Callable[[bytes], Any]], data: bytes) -> list[Any]:
-    """Parses the data as a whole and byte by byte, and returns the messages, which must be the same."""
+    """Parse the data as a whole and byte by byte, and return the messages, which must be the same."""
     whole = list(make()(data))
     feed, split = make(), []
     for at in range(len(data)):
