--- a/arrowrail/core/engine.py
+++ b/arrowrail/core/engine.py
@@ -453,7 +453,7 @@
             self._cancel_attempt(request, request.current_attempt, "no_answer")
 
     def _answer_overdue(self, handle: int) -> None:
-        """Enforce rule 1 if the decision module did not: a request is answered by its deadline."""
+        """Fail a request that the decision module has not answered by its deadline."""
         request = self.requests.get(handle)
         if request is None or request.established:
             return
--- a/arrowrail/core/requests.py
+++ b/arrowrail/core/requests.py
@@ -91,6 +91,7 @@
 
     def respond(self, request: Request, response: FinalResponse) -> None: ...
     def release(self, request: Request, cause: int) -> None: ...
+    # Releases a call from before a restart, whose caller is not known.
     def release_unknown(self, call_id: str, cause: int) -> None: ...
 
     def flushed(self) -> bool:
@@ -107,7 +108,7 @@
     def endpoint_changed(self, endpoint: Endpoint) -> None:
         """The list entry has changed: connect, withdraw set-ups that are still queued, or disconnect."""
 
-    def set_up(self, endpoint: Endpoint, params: SetUpParams, wait_ns: int) -> None: ...
+    def set_up(self, endpoint: Endpoint, params: SetUpParams, timeout_ns: int) -> None: ...
     def cancel_set_up(self, endpoint: Endpoint, call_id: str) -> None:
         """Drop the set-up if it is still queued, else cancel it at the endpoint."""
 
--- a/arrowrail/failure_detection/endpoint.py
+++ b/arrowrail/failure_detection/endpoint.py
@@ -2,7 +2,7 @@
 
 A server that vanishes leaves its connections open and silent, and new connections are never accepted.
 Discovery may report this late, or be down itself.  Callers still have to be sent the release of their calls
-within 8 s (PROTOCOL, "The rules on sockets"), and calls that go on must not be released.
+within 8 s (document PROTOCOL, "The rules on sockets"), and calls that go on must not be released.
 
 The evidence, strongest first:
 
@@ -24,7 +24,7 @@
 from dataclasses import dataclass
 
 MS = 1_000_000
-# PROTOCOL: from the end of a call until its caller must have been sent the release.
+# Document PROTOCOL: from the end of a call until its caller must have been sent the release.
 RELEASE_LIMIT_NS = 8_000 * MS
 RELEASE_RESERVE_NS = 800 * MS  # for detection, and for sending the release to the caller
 SILENCE_LIMIT_NS = RELEASE_LIMIT_NS - RELEASE_RESERVE_NS
@@ -32,7 +32,7 @@
 # more recent last contact when the server vanishes, and a longer outage that its calls survive: 6 s with this
 # value.
 CHECK_IDLE_NS = 1_000 * MS
-CHECK_TIMEOUT_NS = 1_100 * MS  # STANDING: connections to servers may take up to 1 s to open
+CHECK_TIMEOUT_NS = 1_100 * MS  # document STANDING: connections to servers may take up to 1 s to open
 SECOND_CHECK_DELAY_NS = 300 * MS  # after the first check, if it is still pending
 GREETING_TIMEOUT_NS = 1_000 * MS  # from the opening of a connection to its first data
 MIN_GREETINGS = 3  # in a row, until a greeting is expected on every connection
--- a/arrowrail/shutdown/plan.py
+++ b/arrowrail/shutdown/plan.py
@@ -1,6 +1,6 @@
 """The schedule of a graceful shutdown, from SIGTERM to SIGKILL.
 
-According to the documents (PROTOCOL, "Figures"; STANDING), new connections arrive for up to 0.4 s after
+According to the documents PROTOCOL ("Figures") and STANDING, new connections arrive for up to 0.4 s after
 SIGTERM, and clients keep sending on open connections until SIGKILL, which comes no earlier than the longest
 deadline (3 s at most) plus 0.7 s after SIGTERM.  All requests accepted by then have to be answered, and no
 connection may be closed with a request pending on it.  The process therefore serves requests as usual as long
--- a/arrowrail/telemetry/events.py
+++ b/arrowrail/telemetry/events.py
@@ -1,6 +1,6 @@
 """Structured log events: a message under a stable name, with separate fields in JSON logs.
 
-Events of single calls are logged at ``CALL_LEVEL``, which is off by default; events of endpoints, of
+Events of single calls are logged at ``CALL_LOG_LEVEL``, which is off by default; events of endpoints, of
 discovery and of the process are logged at INFO or above.
 """
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -56,8 +56,8 @@
     def endpoint_changed(self, endpoint: Endpoint) -> None:
         self.recorded.append(("endpoint_changed", endpoint.endpoint_id, endpoint.entry.state))
 
-    def set_up(self, endpoint: Endpoint, _params: SetUpParams, wait_ns: int) -> None:
-        self.recorded.append(("set_up", endpoint.endpoint_id, wait_ns))
+    def set_up(self, endpoint: Endpoint, _params: SetUpParams, timeout_ns: int) -> None:
+        self.recorded.append(("set_up", endpoint.endpoint_id, timeout_ns))
 
     def cancel_set_up(self, endpoint: Endpoint, _call_id: str) -> None:
         self.recorded.append(("cancel_set_up", endpoint.endpoint_id))
