--- a/arrowrail/limits/config.py
+++ b/arrowrail/limits/config.py
@@ -29,7 +29,7 @@
 class LimitsConfig:
     """The limits of one application."""
 
-    max_open: int  # concurrent set-ups without a final answer, all classes
+    max_open: int  # concurrent set-ups without a final response, all classes
     rate: int  # set-ups per 1e9 s, all classes
     burst_ns: int  # set-ups of this much time may arrive at once
     connection_share: Fraction  # of max_open, for one connection while the others hold none
--- a/arrowrail/limits/limiter.py
+++ b/arrowrail/limits/limiter.py
@@ -141,7 +141,7 @@
         return free > kept_free + trunk_reservation
 
     def set_up_ended(self, now: int, class_name: str, connection: object, duration_ns: int) -> None:
-        """Record that an admitted set-up got its final answer or was abandoned by its caller."""
+        """Record that an admitted set-up got its final response or was abandoned by its caller."""
         limit = self.config.classes.get(class_name) or max(self.config.classes.values(), key=lambda c: c.rank)
         demand = self.demand[limit.name]
         demand.open_count = max(0, demand.open_count - 1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Rules that hold whatever the score: final answers, drains, repeats, slow start and release time."""
+"""Rules that hold whatever the score: final responses, drains, repeats, slow start and release time."""
 
 from __future__ import annotations
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -85,5 +85,5 @@
         assert len(established) >= 5, "requests on an open connection are still served"
         assert scenario.processes.running["n0"].wait(10) == 0
         for name in ("s1", "s2"):
-            ledger = (tmp_path / f"{name}.jsonl").read_text()
-            assert '"what":"released"' not in ledger, "no established call was released"
+            event_log = (tmp_path / f"{name}.jsonl").read_text()
+            assert '"what":"released"' not in event_log, "no established call was released"
--- a/trackhatch/controller.py
+++ b/trackhatch/controller.py
@@ -6,7 +6,7 @@
 Routes are scored as in Milito, Levy, Arian (ITC-13, 1991): worth x (1 - failure probability) - cost.  The
 route with the highest score is taken; the call is refused when no score is above zero.  Everything else in
 this module estimates the probability and the cost, or enforces the rules that hold whatever the score: every
-call gets its final answer in time, endpoints that drain get no new calls, repeated attempts stay within what
+call gets its final response in time, endpoints that drain get no new calls, repeated attempts stay within what
 the call class allows, endpoints in slow start are not overloaded, and the release time is waited for.
 """
 
@@ -298,7 +298,7 @@
 
 
 class Call:
-    """A call that waits for its final answer, is established, or has an attempt under way."""
+    """A call that waits for its final response, is established, or has an attempt under way."""
 
     __slots__ = (
         "attempts", "call_class", "established", "executed_endpoint", "executed_ns", "first_try_ns",
@@ -654,7 +654,7 @@
             call.queued_endpoint = -1
 
     def reject(self, call: Call) -> None:
-        """Give the final answer: failed where a refusal would claim that no attempt was executed."""
+        """Send the final response: failed where a refusal would claim that no attempt was executed."""
         restricted = call.call_class.repeat == "single_shot" or call.call_class.repeat_scope != "all"
         if call.executed_endpoint >= 0 and call.call_class.repeat != "free" and restricted:
             self.actions.append(interface.FailCall(call.offer.call_id))
--- a/trackhatch/interface.py
+++ b/trackhatch/interface.py
@@ -249,7 +249,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseCall:
-    """Final answer: the call is refused and was not executed."""
+    """Final response: the call is refused and was not executed."""
 
     call_id: str
     retry_after_ns: int  # 0: no advice
@@ -257,7 +257,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailCall:
-    """Final answer: the call has failed, an attempt may have been executed."""
+    """Final response: the call has failed, an attempt may have been executed."""
 
     call_id: str
 
