--- a/tests/test_live_etcd.py
+++ b/tests/test_live_etcd.py
@@ -91,9 +91,8 @@
         assert caller.receive_response(CALL_ID).status == 200
         gateway.send_put(8, listed_target | {"state": "terminating"})
         run.wait_until(lambda: not run.core.decision_module.in_service)
-        caller.invite(
-            "00000000000000b2"
-        )  # a drain listed in etcd has the same effect as one on the event bus
+        # A drain listed in etcd has the same effect as one on the event bus.
+        caller.invite("00000000000000b2")
         assert caller.receive_response("00000000000000b2").status == 503
         gateway.send_result({"header": {"revision": "9"}, "canceled": True, "compact_revision": "9"})
         gateway.accept()
--- a/tests/test_live_m3ua.py
+++ b/tests/test_live_m3ua.py
@@ -522,9 +522,8 @@
         peer.send_isup(peer.expect_isup(IAM).cic, ANM)
         active_client.expect_isup(ANM, 1)
         active_client.sock.sendall(b"\1\0\3")  # half a message; BEATs cannot complete it
-        assert (
-            active_client.wait_for_close() and run.core.requests
-        )  # an established call belongs to no association
+        # An established call belongs to no association.
+        assert active_client.wait_for_close() and run.core.requests
         peer.sock.sendall(b"\1\0\3")
         accept_desk(port)
 
--- a/trackhatch/controller.py
+++ b/trackhatch/controller.py
@@ -6,8 +6,8 @@
 Routes are scored as in Milito, Levy, Arian (ITC-13, 1991): worth x (1 - failure probability) - cost.  The
 route with the highest score is taken; the call is refused when no score is above zero.  Everything else in
 this module estimates the probability and the cost, or enforces the rules that hold whatever the score: every
-call gets its final response in time, endpoints that drain get no new calls, repeated attempts stay within what
-the call class allows, endpoints in slow start are not overloaded, and the release time is waited for.
+call gets its final response in time, endpoints that drain get no new calls, repeated attempts stay within
+what the call class allows, endpoints in slow start are not overloaded, and the release time is waited for.
 """
 
 from __future__ import annotations
