--- a/arrowrail/lab/modelcheck.py
+++ b/arrowrail/lab/modelcheck.py
@@ -1,13 +1,14 @@
-"""An exhaustive check of the lease protocol within bounds: every order of steps, losses, crashes and clocks.
+"""Exhaustive check of the lease protocol within bounds: all orders of steps, losses, crashes, clock rates.
 
-The states are the protocol's own values (``leases``), not a model of them.  From a start state every step
-that can be taken is taken, breadth first, each state once: an instance asks or renews, time goes on, a
-message arrives, is lost or arrives twice, an instance crashes and starts again, a holder gives back.  In
-no state may two instances hold one duty, and no epoch may ever have been held by two.
+The states are made of the protocol's own values (``leases``), not of a model of them.  From a start state
+every possible step is taken, breadth first, each state once: an instance requests or renews, time advances, a
+message arrives, is lost or arrives twice, an instance crashes and restarts, a holder releases.  In no state
+may two instances hold one duty, and no epoch may ever be held by two.
 
-Time goes on in ticks; in a tick each clock moves by its own rate, so that clocks drift apart by the stated
-bound.  Only differences of time matter, so every state is shifted back to one clock reading: what would go on
-for ever comes round.  ``Broken`` leaves one safeguard out; the check has to find what it is for.
+Time advances in ticks; in each tick every clock moves by its own rate, so that clocks drift apart by the
+stated bound.  Only time differences matter, so every state is shifted back to one clock reading, which makes
+recurring states equal.  ``DisabledSafeguards`` leaves out one safeguard; the check has to find the violation
+it prevents.
 """
 
 from __future__ import annotations
@@ -31,21 +32,21 @@
     restore_promise,
 )
 
-NOMINAL, SLOW, FAST = 4, 3, 5  # what a clock moves in a tick
-DRIFT_PPM = 250_000  # so that SLOW and FAST are at the bound
-PROMISE_DURATION = 8  # of a promise: two ticks of a nominal clock
+NOMINAL, SLOW, FAST = 4, 3, 5  # clock units per tick
+DRIFT_PPM = 250_000  # makes SLOW and FAST the extremes of the bound
+PROMISE_DURATION = 8  # two ticks of a nominal clock
 INSTANCES = ("a", "b", "c")
-CANDIDATES = 2  # a and b ask; c grants only
-BASE_TIME = 1000  # what every clock reads in every state
+CANDIDATES = 2  # a and b request leases; c is a voter only
+BASE_TIME = 1000  # reading of every clock in every state
 
 
 @dataclass(frozen=True, slots=True)
 class DisabledSafeguards:
-    """Safeguards that are left out."""
+    """Safeguards of the protocol that are left out."""
 
-    no_margin: bool = False  # a holder counts on the whole length of a promise
+    no_margin: bool = False  # a holder relies on the whole duration of a promise
     no_quorum: bool = False  # one vote is enough
-    no_memory: bool = False  # a promise is forgotten in a crash, and nothing is sat out
+    no_memory: bool = False  # promises are lost in a crash, and the restarted voter grants at once
 
 
 ALL_SAFEGUARDS = DisabledSafeguards()
@@ -53,9 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
+    """Limits of the search."""
+
     duties: int = 1
     depth: int = 10
-    max_in_flight: int = 2  # asks are made while fewer messages are on their way
+    max_in_flight: int = 2  # requests are sent only while fewer messages are in flight
     epochs: int = 2
     duplicates: int = 0
     crashes: int = 1
@@ -63,7 +66,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InFlight:
+class Packet:
+    """A message in flight between two instances."""
+
     sender: int
     receiver: int
     message: AcquireRequest | Reply | Release
@@ -71,23 +76,27 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    promises: tuple[tuple[Promise, ...], ...]  # by instance, by duty
+    """One state of the protocol; clocks read BASE_TIME in it."""
+
+    promises: tuple[tuple[Promise, ...], ...]  # by instance, then by duty
     claims: tuple[tuple[Claim, ...], ...]
-    in_flight: frozenset[InFlight] = frozenset()
-    held_epochs: frozenset[tuple[int, int, int]] = frozenset()  # duty, epoch, holder: held at some time
+    in_flight: frozenset[Packet] = frozenset()
+    held_epochs: frozenset[tuple[int, int, int]] = frozenset()  # (duty, epoch, holder) held at some time
     duplicates: int = 0
     crashes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class CheckResult:
+    """Number of states visited, and the first violation with the steps that lead to it."""
+
     states: int
     violation: str = ""
     trace: tuple[str, ...] = ()
     complete: bool = True
 
 
-def _packet_sort_key(packet: InFlight) -> tuple[int, int, str, str, int, int]:
+def _packet_sort_key(packet: Packet) -> tuple[int, int, str, str, int, int]:
     message = packet.message
     return (
         packet.sender,
@@ -100,7 +109,7 @@
 
 
 class WeakenedConfig(LeaseConfig):
-    """Terms with a safeguard left out."""
+    """Lease configuration with a safeguard left out."""
 
     __slots__ = ()
     disabled = DisabledSafeguards()
@@ -116,12 +125,14 @@
 
 
 class Checker:
+    """Searches all states reachable under one combination of clock rates."""
+
     def __init__(
         self, rates: tuple[int, ...], bounds: Bounds, disabled: DisabledSafeguards = ALL_SAFEGUARDS
     ) -> None:
         self.rates, self.bounds, self.disabled = rates, bounds, disabled
-        config_type = type("T", (WeakenedConfig,), {"disabled": disabled, "__slots__": ()})
-        self.config: LeaseConfig = config_type(PROMISE_DURATION, DRIFT_PPM, frozenset(INSTANCES))
+        config_class = type("T", (WeakenedConfig,), {"disabled": disabled, "__slots__": ()})
+        self.config: LeaseConfig = config_class(PROMISE_DURATION, DRIFT_PPM, frozenset(INSTANCES))
         self.duties = tuple(f"d{n}" for n in range(bounds.duties))
 
     def start(self) -> State:
@@ -191,7 +202,7 @@
     # --- Steps ------------------------------------------------------------------------------------------
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
-        yield "time goes on", self._advance_clocks(state)
+        yield "time advances", self._advance_clocks(state)
         for instance, duty_index in product(range(CANDIDATES), range(len(self.duties))):
             claim, duty = state.claims[instance][duty_index], self.duties[duty_index]
             if len(state.in_flight) < self.bounds.max_in_flight:
@@ -201,7 +212,7 @@
                 ):
                     started = claim_ops.start_acquire(claim, BASE_TIME, self.config)
                     yield (
-                        f"{INSTANCES[instance]} asks for {duty}",
+                        f"{INSTANCES[instance]} requests {duty}",
                         self._send_request(state, instance, duty_index, *started),
                     )
                 elif claim.phase == claim_ops.HOLDING and not claim.requested_at:
@@ -214,14 +225,13 @@
                 idle_claim, release = claim_ops.release_claim(claim, BASE_TIME)
                 assert release is not None
                 yield (
-                    f"{INSTANCES[instance]} gives {duty} back",
+                    f"{INSTANCES[instance]} releases {duty}",
                     self._send_release(
                         self._with_claim(state, instance, duty_index, idle_claim), instance, release
                     ),
                 )
-        for packet in sorted(
-            state.in_flight, key=_packet_sort_key
-        ):  # a set's own order changes from run to run
+        # Sorted because the order of a set changes from run to run.
+        for packet in sorted(state.in_flight, key=_packet_sort_key):
             message_type = type(packet.message).__name__.lower()
             label = f"{message_type} {INSTANCES[packet.sender]} to {INSTANCES[packet.receiver]}"
             remaining = replace(state, in_flight=state.in_flight - {packet})
@@ -229,17 +239,22 @@
             yield f"{label} is lost", remaining
             if state.duplicates < self.bounds.duplicates:
                 redelivered = self._deliver(replace(state, duplicates=state.duplicates + 1), packet)
-                yield f"{label} arrives, and will again", redelivered
+                yield f"{label} arrives and will arrive again", redelivered
         if state.crashes < self.bounds.crashes:
             for instance in range(len(INSTANCES)):
-                yield f"{INSTANCES[instance]} crashes and starts", self._restart(state, instance)
+                yield f"{INSTANCES[instance]} crashes and restarts", self._restart(state, instance)
 
     def _advance_clocks(self, state: State) -> State:
-        """Each clock moves by its rate, and everything is shifted back by it."""
+        """Advance each clock by its rate, and shift all times back by it."""
         promises = tuple(
             tuple(
-                replace(p, expires_at=max(0, p.expires_at - rate) if p.expires_at - rate > BASE_TIME else 0)
-                for p in row
+                replace(
+                    promise,
+                    expires_at=max(0, promise.expires_at - rate)
+                    if promise.expires_at - rate > BASE_TIME
+                    else 0,
+                )
+                for promise in row
             )
             for row, rate in zip(state.promises, self.rates, strict=True)
         )
@@ -266,7 +281,7 @@
         state = self._answer_request(state, instance, instance, request)
         others = [other for other in range(len(INSTANCES)) if other != instance]
         return replace(
-            state, in_flight=state.in_flight | {InFlight(instance, other, request) for other in others}
+            state, in_flight=state.in_flight | {Packet(instance, other, request) for other in others}
         )
 
     def _send_release(self, state: State, instance: int, release: Release) -> State:
@@ -276,27 +291,27 @@
         free_slots = self.bounds.max_in_flight + 2 - len(state.in_flight)
         others = [other for other in range(len(INSTANCES)) if other != instance][: max(0, free_slots)]
         return replace(
-            state, in_flight=state.in_flight | {InFlight(instance, other, release) for other in others}
+            state, in_flight=state.in_flight | {Packet(instance, other, release) for other in others}
         )
 
     def _with_promise(self, state: State, instance: int, duty_index: int, promise: Promise) -> State:
         row = (*state.promises[instance][:duty_index], promise, *state.promises[instance][duty_index + 1 :])
         return replace(state, promises=(*state.promises[:instance], row, *state.promises[instance + 1 :]))
 
-    def _answer_request(self, state: State, grantor: int, requester: int, request: AcquireRequest) -> State:
+    def _answer_request(self, state: State, voter: int, requester: int, request: AcquireRequest) -> State:
         duty_index = self.duties.index(request.duty)
         now = BASE_TIME
-        promise, reply = answer_request(state.promises[grantor][duty_index], now, request, self.config)
+        promise, reply = answer_request(state.promises[voter][duty_index], now, request, self.config)
         reply = replace(reply, retry_after_ns=0)
-        state = self._with_promise(state, grantor, duty_index, promise)
-        if grantor == requester:
+        state = self._with_promise(state, voter, duty_index, promise)
+        if voter == requester:
             claim = claim_ops.apply_reply(
-                state.claims[requester][duty_index], INSTANCES[grantor], reply, now, self.config
+                state.claims[requester][duty_index], INSTANCES[voter], reply, now, self.config
             )
             return self._with_claim(state, requester, duty_index, replace(claim, not_before=0))
-        return replace(state, in_flight=state.in_flight | {InFlight(grantor, requester, reply)})
+        return replace(state, in_flight=state.in_flight | {Packet(voter, requester, reply)})
 
-    def _deliver(self, state: State, packet: InFlight) -> State:
+    def _deliver(self, state: State, packet: Packet) -> State:
         message, receiver = packet.message, packet.receiver
         duty_index = self.duties.index(message.duty)
         if isinstance(message, AcquireRequest):
@@ -314,12 +329,12 @@
         return self._with_claim(state, receiver, duty_index, replace(claim, not_before=0))
 
     def _restart(self, state: State, instance: int) -> State:
-        """What it held is lost; what it promised is read back, or sat out, or (broken) forgotten."""
+        """Leases held are lost; promises are read back, or lost if that safeguard is disabled."""
         restored: tuple[Promise, ...]
         if self.disabled.no_memory:
             restored = (NO_PROMISE,) * len(self.duties)
         else:
-            restored = tuple(restore_promise(p, BASE_TIME) for p in state.promises[instance])
+            restored = tuple(restore_promise(promise, BASE_TIME) for promise in state.promises[instance])
         claims = tuple(
             Claim(duty, INSTANCES[instance], round=state.claims[instance][index].round)
             for index, duty in enumerate(self.duties)
@@ -338,7 +353,7 @@
 def check(
     bounds: Bounds, disabled: DisabledSafeguards = ALL_SAFEGUARDS, rates: tuple[tuple[int, ...], ...] = RATES
 ) -> CheckResult:
-    """Over several combinations of clock rates; the first breach, or all states that were visited."""
+    """Check several combinations of clock rates; the first violation ends the check."""
     total, complete = 0, True
     for clock_rates in rates:
         result = Checker(clock_rates, bounds, disabled).run()
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -40,8 +40,8 @@
         """Place calls to an exchange; returns the ids of the established ones."""
         established = []
         for call in (f"{first + n:016x}" for n in range(count)):
-            caller.invite(call, dest=exchange, patience=3000)
-            if caller.answer(call).status == 200:
+            caller.invite(call, exchange=exchange, patience_ms=3000)
+            if caller.receive_response(call).status == 200:
                 established.append(call)
         return established
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -33,7 +33,7 @@
             call = os.urandom(8).hex()
             self.sent.append(call)
             try:
-                self.caller.invite(call, patience=self.patience_ms)
+                self.caller.invite(call, patience_ms=self.patience_ms)
             except OSError:
                 break  # connection closed; the call counts as unanswered
             time.sleep(0.05)
@@ -42,7 +42,7 @@
     def _read(self) -> None:
         try:
             while True:
-                message = self.caller.take(lambda m: m.status >= 200 and m.cseq_method == "INVITE")
+                message = self.caller.receive(lambda m: m.status >= 200 and m.cseq_method == "INVITE")
                 self.answers.append(message.call_id)
         except (EOFError, OSError):
             return
@@ -85,5 +85,5 @@
         assert len(established) >= 5, "requests on an open connection are still served"
         assert scenario.processes.running["n0"].wait(10) == 0
         for name in ("s1", "s2"):
-            ledger = (tmp_path / f"{name}.jsonl").read_text()
-            assert '"what":"released"' not in ledger, "no established call was released"
+            event_log = (tmp_path / f"{name}.jsonl").read_text()
+            assert '"what":"released"' not in event_log, "no established call was released"
