--- a/arrowrail/lab/__init__.py
+++ b/arrowrail/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for external systems, drills that play faults with them, and checks of the recorded events."""
+"""Stand-ins for external systems, drills that inject faults with them, and checks of the recorded events."""
