--- a/arrowrail/core/engine.py
+++ b/arrowrail/core/engine.py
@@ -399,10 +399,10 @@
                 self.timers.schedule(
                     self.now + delay_ns, lambda: self.events.append(interface.TimerExpired(timer_id))
                 )
-            case interface.CancelSetUp(call_id, number):
+            case interface.CancelSetUp(call_id, attempt_number):
                 request = self.find(call_id)
                 attempt = request.current_attempt if request is not None and not request.established else None
-                if request is not None and attempt is not None and attempt.number == number:
+                if request is not None and attempt is not None and attempt.number == attempt_number:
                     self._cancel_attempt(request, attempt, "called_off")
             case interface.WatchExchangeList():
                 pass  # the list is watched from the start
@@ -416,11 +416,13 @@
             self.internal_errors += 1
             self.metrics.count("check.fired", violation)
             logger.error("set-up of call {} to endpoint {} not sent: {}", call_id, endpoint_id, violation)
-            number = request.attempts if request is not None else 0
+            attempt_number = request.attempts if request is not None else 0
             if request is not None:
                 request.attempts += 1
             self.events.append(
-                interface.AttemptEnded(call_id, endpoint_id, number, "not_sent", 0, request is None, 0, None)
+                interface.AttemptEnded(
+                    call_id, endpoint_id, attempt_number, "not_sent", 0, request is None, 0, None
+                )
             )
             return
         if self.admission is not None:
--- a/arrowrail/telemetry/metrics.py
+++ b/arrowrail/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of one process.
+"""Counters of one process: requests, attempts, refusals, releases and lost connections, with reasons.
 
 They are plain integers in one table.  Names and labels come from the code, never from a peer, so that the
 table stays small however long the process runs.
--- a/arrowrail/wire/binary/connection.py
+++ b/arrowrail/wire/binary/connection.py
@@ -126,10 +126,10 @@
         if self.endpoint.entry.state != TERMINATED:
             self.reconnect_timer.schedule()
             self.pool.connection_failed(error)
-        never_up = stream is None or stream.connecting
+        never_connected = stream is None or stream.connecting
         for call_id, data in pending.items():
-            unsent = stream is None or never_up or stream.is_unsent(call_id)
-            self.pool.set_up_interrupted(call_id, data, never_up, unsent)
+            unsent = stream is None or never_connected or stream.is_unsent(call_id)
+            self.pool.set_up_interrupted(call_id, data, never_connected, unsent)
 
     def _log_disconnect(self, was_up: bool, error: OSError | None, pending: int) -> None:
         name = "server.connection_lost" if was_up else "server.connect_failed"
--- a/arrowrail/wire/binary/pool.py
+++ b/arrowrail/wire/binary/pool.py
@@ -70,8 +70,8 @@
             (connection for connection in self.connections if call_id in connection.pending_set_ups), None
         )
 
-    def set_up_interrupted(self, call_id: str, data: bytes, never_up: bool, unsent: bool) -> None:
-        """Resend, release or fail a set-up whose connection broke before the answer or never came up."""
+    def set_up_interrupted(self, call_id: str, data: bytes, never_connected: bool, unsent: bool) -> None:
+        """Resend, release or fail a set-up whose connection broke before the answer or never opened."""
         other = self.least_loaded()
         if unsent and other.up and self.endpoint.entry.state == IN_SERVICE:
             other.send_set_up(call_id, data)  # no byte was written: it continues as the same attempt
@@ -81,9 +81,9 @@
             # may have been unreadable.
             self.release(call_id, Q850_NORMAL_CLEARING)
         outcome = "no_connection" if unsent else "connection_lost"
-        # A broken connection says nothing about the processor behind it; one that never came up does.
+        # A broken connection says nothing about the processor behind it; one that was never opened does.
         self.backend.core.attempt_failed(
-            self.endpoint, call_id, outcome, 0 if never_up else CAUSE_CONNECTION_FAILED
+            self.endpoint, call_id, outcome, 0 if never_connected else CAUSE_CONNECTION_FAILED
         )
 
     @property
--- a/arrowrail/wire/etcd/messages.py
+++ b/arrowrail/wire/etcd/messages.py
@@ -109,11 +109,11 @@
     def _read_event(self, event: dict[str, Any]) -> EndpointEntry | None:
         if event.get("type", "PUT") == "DELETE":
             key = base64.b64decode(event["kv"]["key"]).decode()
-            return EndpointEntry(_uid(key), "", "", -1, TERMINATED, 0)
+            return EndpointEntry(_uid_from_key(key), "", "", -1, TERMINATED, 0)
         return _read_entry(event["kv"])
 
 
-def _uid(key: str) -> str:
+def _uid_from_key(key: str) -> str:
     return key.rpartition("/")[2]
 
 
@@ -121,6 +121,6 @@
     """Decode an entry: its value is that of an event bus target, its uid is the last part of the key."""
     try:
         value = orjson.loads(base64.b64decode(kv["value"]))
-        return entry_from_json({"uid": _uid(base64.b64decode(kv["key"]).decode()), **value})
+        return entry_from_json({"uid": _uid_from_key(base64.b64decode(kv["key"]).decode()), **value})
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
         return None
--- a/arrowrail/wire/m3ua/backend.py
+++ b/arrowrail/wire/m3ua/backend.py
@@ -96,14 +96,14 @@
         for call in list(self.calls_by_cic.values()):
             if call.answered or call.clearing:
                 continue
-            not_transmitted = not call.sent or stream is None or stream.is_unsent(call.call_id)
+            unsent = not call.sent or stream is None or stream.is_unsent(call.call_id)
             del self.active_calls[call.call_id]
-            if not_transmitted:
+            if unsent:
                 self._free_circuits(call)
             else:
                 # The peer may have received the IAM: its circuits stay occupied until it confirms a release.
                 call.clearing = True
-            outcome = "no_connection" if not_transmitted else "connection_lost"
+            outcome = "no_connection" if unsent else "connection_lost"
             self.backend.core.attempt_failed(
                 self.endpoint, call.call_id, outcome, 0 if never_connected else CAUSE_CONNECTION_FAILED
             )
--- a/arrowrail/wire/m3ua/frontend.py
+++ b/arrowrail/wire/m3ua/frontend.py
@@ -21,7 +21,7 @@
 from arrowrail.wire.m3ua.messages import ProtocolData
 from arrowrail.wire.stream import Stream
 
-RELEASE_RETENTION_NS = 8_000 * MS  # how long a release waits for an association that can send it
+RELEASE_LIFETIME_NS = 8_000 * MS  # how long a release waits for an association that can send it
 MAX_CLIENTS = 64
 # Q.850 causes: unallocated number; service not implemented; interworking, unspecified.
 Q850_UNALLOCATED, Q850_NOT_IMPLEMENTED, Q850_INTERWORKING = 1, 79, 127
@@ -111,7 +111,7 @@
                 and not circuit.clearing
             ):
                 self.core.caller_abandoned(circuit.call_id)
-                self._drop(circuit)
+                self._remove_circuit(circuit)
         if self.listener is not None:
             self.listener.resume()
 
@@ -127,9 +127,9 @@
             if circuit is not None:
                 if not circuit.clearing and not self.core.caller_released(circuit.call_id):
                     self.core.caller_abandoned(circuit.call_id)
-                self._drop(circuit)
+                self._remove_circuit(circuit)
         elif message.message_type == IsupMessageType.RLC and circuit is not None and circuit.clearing:
-            self._drop(circuit)
+            self._remove_circuit(circuit)
 
     def _handle_iam(
         self, association: Association, key: CircuitKey, previous: Circuit | None, message: IsupMessage
@@ -137,7 +137,7 @@
         if previous is not None and not previous.clearing:
             return  # a retransmission: the first IAM gets the one response
         if previous is not None:
-            self._drop(previous)  # the client reuses the circuit, so it has received the release
+            self._remove_circuit(previous)  # the client reuses the circuit, so it has received the release
         exchange = next(
             (
                 mapping.exchange
@@ -231,15 +231,15 @@
             association.send_isup(circuit.key[0], release)
         if circuit.t1_timer is not None:
             circuit.t1_timer.cancel()
-        delay_ns = T1_NS if association is not None else RELEASE_RETENTION_NS
+        delay_ns = T1_NS if association is not None else RELEASE_LIFETIME_NS
         callback = (
             (lambda: self._send_release(circuit, cause))
             if association is not None
-            else (lambda: self._drop(circuit))
+            else (lambda: self._remove_circuit(circuit))
         )
         circuit.t1_timer = self.loop.timers.schedule(self.loop.now + delay_ns, callback)
 
-    def _drop(self, circuit: Circuit) -> None:
+    def _remove_circuit(self, circuit: Circuit) -> None:
         if circuit.t1_timer is not None:
             circuit.t1_timer.cancel()
         if self.circuits.get(circuit.key) is circuit:
--- a/trackhatch/controller.py
+++ b/trackhatch/controller.py
@@ -839,7 +839,10 @@
     # --- Reports and the exchange list --------------------------------------------------------------------
 
     def read_report(self, endpoint: EndpointEstimate | None, report: interface.LoadReport | None) -> None:
-        """Take over the free circuits of the own trunk group and the metrics that the endpoint reports."""
+        """Take over the free circuits of the own trunk group and the metrics that the endpoint reports.
+
+        The circuits are exact at that time; the metrics only refine the estimates.
+        """
         if endpoint is None or report is None:
             return
         for name, value in report.metrics:
