--- a/arrowrail/core/engine.py
+++ b/arrowrail/core/engine.py
@@ -430,17 +430,17 @@
         attempt = Attempt(request.attempts, endpoint, self.now)
         request.attempts += 1
         request.current_attempt = attempt
-        until = request.params.deadline_ns
-        if timeout_ns and self.now + timeout_ns < until:
-            until = self.now + timeout_ns
+        attempt_deadline_ns = request.params.deadline_ns
+        if timeout_ns and self.now + timeout_ns < attempt_deadline_ns:
+            attempt_deadline_ns = self.now + timeout_ns
             handle = request.handle
             attempt.timeout_timer = self.timers.schedule(
-                until, lambda: self._attempt_timed_out(handle, attempt)
+                attempt_deadline_ns, lambda: self._attempt_timed_out(handle, attempt)
             )
         self.metrics.count("attempt.sent" if attempt.number == 0 else "attempt.retried")
         call_event("attempt.sent", call_id, "attempt {attempt} to {server}",
                    attempt=attempt.number, server=endpoint.entry.uid)  # fmt: skip
-        self._backend(endpoint).set_up(endpoint, request.params, until - self.now)
+        self._backend(endpoint).set_up(endpoint, request.params, attempt_deadline_ns - self.now)
 
     # --- Timeouts and the end of attempts and calls -----------------------------------------------------
 
--- a/arrowrail/limits/connections.py
+++ b/arrowrail/limits/connections.py
@@ -86,9 +86,9 @@
         return usage
 
     def set_up_admitted(self, now: int, connection: object) -> None:
-        known = self._get_or_create(now, connection)
-        known.open_count += 1
-        for usage in (known, self._total):
+        own_usage = self._get_or_create(now, connection)
+        own_usage.open_count += 1
+        for usage in (own_usage, self._total):
             usage.recent_admitted(now)
             usage.admitted += 1
 
--- a/arrowrail/wire/bad_input.py
+++ b/arrowrail/wire/bad_input.py
@@ -25,7 +25,8 @@
     def update(self, pending: bool, completed: bool) -> None:
         """Start or cancel the timeout; to be called after each read.
 
-        ``pending``: a message is incomplete; ``completed``: at least one was completed by this read."""
+        ``pending``: a message is incomplete; ``completed``: at least one was completed by this read.
+        """
         if self._timer is not None and (completed or not pending):
             self.cancel()
         if pending and self._timer is None:
--- a/arrowrail/wire/binary/backend.py
+++ b/arrowrail/wire/binary/backend.py
@@ -53,13 +53,13 @@
 
         Connections open before the first set-up, because the server reports its trunk group state on them.
         """
-        state, known = endpoint.entry.state, self.pools.get(endpoint.endpoint_id)
+        state, existing_pool = endpoint.entry.state, self.pools.get(endpoint.endpoint_id)
         if state == IN_SERVICE:
             self._pool(endpoint).open()
-        elif known is not None:
-            self._discard_queued_set_ups(known)
+        elif existing_pool is not None:
+            self._discard_queued_set_ups(existing_pool)
             if state == TERMINATED:
-                known.close()
+                existing_pool.close()
                 del self.pools[endpoint.endpoint_id]
         elif state == TERMINATING:
             # The endpoint is first seen while it drains, as after a restart of the controller: it may still
--- a/arrowrail/wire/http.py
+++ b/arrowrail/wire/http.py
@@ -10,7 +10,7 @@
 
 
 class ResponseBodyParser:
-    """Extracts the body of a response whose bytes arrive in pieces; serves as callbacks of httptools."""
+    """Extracts the body of a response whose bytes arrive in pieces; receives the callbacks of httptools."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
--- a/trackhatch/controller.py
+++ b/trackhatch/controller.py
@@ -683,11 +683,11 @@
             event.latency_ns / SECOND_NS,
         )
         if endpoint is not None and sent_at is not None:
-            via_tandem = False
+            is_indirect = False
             if call is not None:
-                via_tandem = endpoint.entry.exchange != call.offer.destination
+                is_indirect = endpoint.entry.exchange != call.offer.destination
                 if (
-                    via_tandem
+                    is_indirect
                     and self.settings.layout == "meshed"
                     and call.offer.destination in self.in_service
                 ):
@@ -700,7 +700,7 @@
             self.drop_overtaken(endpoint, sent_at)
             endpoint.failures.add(self.now, 0.0)
             endpoint.record_answer(
-                self.now, latency_s, via_tandem or self.after_pause or sent_at == self.resumed_ns
+                self.now, latency_s, is_indirect or self.after_pause or sent_at == self.resumed_ns
             )
             endpoint.lost_answers.add(self.now, 0.0)
         if call is not None:
--- a/trackhatch/interface.py
+++ b/trackhatch/interface.py
@@ -294,7 +294,7 @@
 class SendPeerMessage:
     """Send a message to other controller instances."""
 
-    peer: int  # rank of the receiver; -1: all
+    peer: int  # number of the receiver; -1: all
     payload: bytes
 
 
