--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# build: the environment that run needs; test, lint: also the tools for them; run: one controller
+# build: create the environment that run needs; dev: add the tools that test and lint need; run: start one
+# controller
 VENV ?= .venv
 PYTHON ?= $(VENV)/bin/python
 
@@ -27,6 +28,7 @@
 check:
 	$(PYTHON) -m arrowrail config check $(FOLDER)
 
-# Some minutes, alone on the machine; BEFORE names a commit to compare plain run's memory with
+# Takes some minutes on an otherwise idle machine; BEFORE is a commit to compare the memory of a controller
+# without a sidecar with
 bench:
 	$(PYTHON) -m arrowrail bench $(if $(BEFORE),--before $(BEFORE))
