--- a/arrowrail/lab/drills/duties.py
+++ b/arrowrail/lab/drills/duties.py
@@ -24,19 +24,20 @@
 from arrowrail.lab.processes import ProcessManager, free_ports, is_listening, wait_until
 
 S = 1_000 * MS
-PERIOD = 2 * S
-LEASE = 2 * S
+PROBE_PERIOD_NS = 2 * S
+LEASE_NS = 2 * S
 KEYS = {"1": "00112233445566778899aabbccddeeff", "2": "ffeeddccbbaa99887766554433221100"}
 EXCHANGES = 6
-DETECTION = 8 * S  # the probe of a dead instance, its suspicion, and the spread of the news of its death
+DETECTION_NS = 8 * S  # the probe of a dead instance, its suspicion, and the gossip about its death
 # Detection, the lease of the dead instance, a few attempts to acquire it, and the full period that the new
 # holder waits.
-MAX_PROBE_GAP = DETECTION + LEASE + 3 * S + PERIOD + PERIOD // 2
-MIN_PROBE_GAP = PERIOD * 6 // 10  # two probes of one exchange within a shorter time count as duplicates
+MAX_PROBE_GAP_NS = DETECTION_NS + LEASE_NS + 3 * S + PROBE_PERIOD_NS + PROBE_PERIOD_NS // 2
+# Two probes of one exchange within a shorter time count as duplicates.
+MIN_PROBE_GAP_NS = PROBE_PERIOD_NS * 6 // 10
 
 
 class DutiesDrill:
-    """Starts the processes, injects the faults and keeps their times."""
+    """Starts the processes, injects the faults and records their times."""
 
     def __init__(self, instances: int, seed: int, folder: Path) -> None:
         self.random = random.Random(seed)
@@ -44,17 +45,16 @@
         self.exchanges = [f"e{i}" for i in range(EXCHANGES)]
         ports = free_ports(len(self.exchanges) + 3 * instances)
         self.exchange_port = dict(zip(self.exchanges, ports, strict=False))
-        rest = ports[len(self.exchanges) :]
-        self.sip_port = dict(zip(self.names, rest, strict=False))
-        self.udp_port = dict(zip(self.names, rest[instances:], strict=False))
-        self.relay_port = dict(
-            zip(self.names, rest[2 * instances :], strict=False)
-        )  # where the relay listens
+        remaining_ports = ports[len(self.exchanges) :]
+        self.sip_port = dict(zip(self.names, remaining_ports, strict=False))
+        self.udp_port = dict(zip(self.names, remaining_ports[instances:], strict=False))
+        # Ports on which the relay listens.
+        self.relay_port = dict(zip(self.names, remaining_ports[2 * instances :], strict=False))
         self.processes = ProcessManager(folder)
         self.faults: list[tuple[str, int]] = []  # description and start time
         self.timestamps: dict[str, int] = {}
 
-    def set_up(self) -> None:
+    def start_processes(self) -> None:
         conf = self.folder / "conf"
         conf.mkdir()
         lines = ['site: {label: "drill"}', 'district: d: numbers: ["0"]',
@@ -81,9 +81,9 @@
         for exchange in self.exchanges:
             wait_until(lambda name=exchange: is_listening(self.exchange_port[name]), exchange)  # type: ignore[misc]
         for name in self.names:
-            self.start(name)
+            self.start_instance(name)
 
-    def _application_config(self, name: str, key: int) -> str:
+    def _application_config(self, name: str, send_key: int) -> str:
         members = ", ".join(f'{n}: "127.0.0.1:{self.relay_port[n]}"' for n in self.names)
         keys = ", ".join(f'"{n}": "{text}"' for n, text in KEYS.items())
         return f"""include "inventory.rail"
@@ -100,17 +100,17 @@
     bind: "127.0.0.1:{self.udp_port[name]}"
     members: {{{members}}}
     keys: {{{keys}}}
-    send_key: {key}
-    lease: {LEASE // S}s
+    send_key: {send_key}
+    lease: {LEASE_NS // S}s
     memory: "{self.folder / f"memory-{name}"}"
     control: "{self.folder / f"{name}.control"}"
-    probe_period: {PERIOD // S}s
+    probe_period: {PROBE_PERIOD_NS // S}s
     probe_time_out: 500ms
   }}
 }}
 """
 
-    def start(self, name: str) -> None:
+    def start_instance(self, name: str) -> None:
         self.processes.start(name, "arrowrail", "sidecar", name, "--config", str(self.folder / "conf"))
         wait_until(lambda: is_listening(self.sip_port[name]), name)
 
@@ -129,8 +129,8 @@
         killed, hung, isolated = names[0], names[1], names[2 % len(names)]
         self.faults.append((f"kill {killed}", time.time_ns()))
         self.processes.kill(killed)
-        self.sleep(MAX_PROBE_GAP / S)
-        self.start(killed)
+        self.sleep(MAX_PROBE_GAP_NS / S)
+        self.start_instance(killed)
         self.faults.append((f"hang {hung}", time.time_ns()))
         self.processes.send_signal(hung, signal.SIGSTOP)
         self.sleep(10.0)
@@ -146,7 +146,7 @@
         both = self.random.random() < 0.5
         self.faults.append((f"{'split' if both else 'one-way split'} {isolated}", time.time_ns()))
         self.command_relay(cut=[isolated], both=both)
-        self.sleep(MAX_PROBE_GAP / S)
+        self.sleep(MAX_PROBE_GAP_NS / S)
         self.command_relay(heal=True)
         self.timestamps["healed"] = time.time_ns()
         self.sleep(12.0)
@@ -158,7 +158,7 @@
     drill = DutiesDrill(3 if short else instances, seed, folder)
     report = CheckReport()
     with drill.processes:
-        drill.set_up()
+        drill.start_processes()
         drill.run_scenario()
         report.violations += drill.processes.unexpected_exits()
         for name in drill.names:
@@ -179,10 +179,10 @@
         times = [p["t"] for p in probes if p["t"] > drill.timestamps["steady"]]
         edges = [drill.timestamps["steady"], *times, drill.timestamps["end"]]
         longest_gap = max([longest_gap, *(b - a for a, b in pairwise(edges))])
-    report.expect(longest_gap <= MAX_PROBE_GAP, f"an exchange was not probed for {longest_gap / S:.1f} s")
+    report.expect(longest_gap <= MAX_PROBE_GAP_NS, f"an exchange was not probed for {longest_gap / S:.1f} s")
     report.metrics |= {
         "probes": total, "longest without a probe, s": round(longest_gap / S, 1),
-        "bound, s": MAX_PROBE_GAP / S, "steady gap, longest s": round(max(steady_gaps, default=0) / S, 2),
+        "bound, s": MAX_PROBE_GAP_NS / S, "steady gap, longest s": round(max(steady_gaps, default=0) / S, 2),
         "what befell": [description for description, _ in drill.faults],
     }  # fmt: skip
 
@@ -199,17 +199,18 @@
     first_fault_at = drill.faults[0][1]
     for probe in probes:
         holder = holder_by_epoch.setdefault(probe["epoch"], probe["by"])
-        report.expect(holder == probe["by"], f"{exchange}: epoch {probe['epoch']} used by two instances")
+        report.expect(holder == probe["by"], f"{exchange}: epoch {probe['epoch']} was used by two instances")
         report.expect(probe["fresh"], f"{exchange}: a probe with the outdated epoch {probe['epoch']}")
         if previous is not None:
             gap = probe["t"] - previous["t"]
             report.expect(
-                gap >= MIN_PROBE_GAP,
+                gap >= MIN_PROBE_GAP_NS,
                 f"{exchange}: probed twice within {gap // MS} ms, by {previous['by']} and {probe['by']}",
             )
             if drill.timestamps["steady"] < previous["t"] and probe["t"] < first_fault_at:
                 steady_gaps.append(gap)
                 report.expect(
-                    gap <= PERIOD * 3 // 2, f"{exchange}: {gap // MS} ms between probes without a fault"
+                    gap <= PROBE_PERIOD_NS * 3 // 2,
+                    f"{exchange}: {gap // MS} ms between probes without a fault",
                 )
         previous = probe
--- a/arrowrail/lab/drills/sidecar.py
+++ b/arrowrail/lab/drills/sidecar.py
@@ -31,14 +31,14 @@
 NUMBERS = {"fukuoka": "092", "kumamoto": "096", "kagoshima": "099"}
 # A surge to 10 times the rate of 12 is about 5 times the limit of 25.
 LIMIT_OPEN, LIMIT_RATE, RATE, SURGE_FACTOR = 30, 25, 12.0, 10.0
-MAX_RELOAD_TIME = 4 * S  # waiting until the folder is stable, checking it and applying the new settings
-ORPHANS_S = 2
+MAX_RELOAD_NS = 4 * S  # waiting until the folder is stable, checking it and applying the new settings
+ORPHANS_S = 2  # setting ``orphans``: when the calls of a lost application are released
 AFTER_RESTART_S = 3.0  # how long calls go on once the killed sidecar is back, however long its start took
 MAX_START_S = 20.0
 MIN_ESTABLISHED_SHARE = 0.99  # of the calls of applications that stay within their limits
 MAX_ATTEMPTS = 2
-PAUSE = 300 * MS
-DRAIN_GRACE = 500 * MS
+RELEASE_PAUSE_NS = 300 * MS
+DRAIN_GRACE_NS = 500 * MS
 
 
 def _inventory(ports: dict[str, int], pools: dict[str, list[str]]) -> str:
@@ -61,7 +61,7 @@
     return "\n".join(lines) + "\n"
 
 
-def _application_config(name: str, port: int, bus: int) -> str:
+def _application_config(name: str, port: int, bus_port: int) -> str:
     pools = "{fukuoka: pool.fukuoka, kumamoto: pool.kumamoto}"
     calls = "\n".join(
         f'    "{class_name}": {{give_up: 3s, time_out: 1200ms, pools: {pools}}}'
@@ -76,7 +76,7 @@
   }}
   limits: {{open: {LIMIT_OPEN}, rate: {LIMIT_RATE}/s, connections: 20}}
   attempts: {MAX_ATTEMPTS}
-  list: {{kind: "bus", address: "127.0.0.1:{bus}"}}
+  list: {{kind: "bus", address: "127.0.0.1:{bus_port}"}}
   orphans: {ORPHANS_S}s
   log: form: "json"
 }}
@@ -92,7 +92,7 @@
 
 
 class SidecarDrill:
-    """Starts the processes, runs the scenario and keeps the times of its steps."""
+    """Starts the processes, runs the scenario and records the times of its steps."""
 
     def __init__(self, seed: int, folder: Path, short: bool) -> None:
         self.random = random.Random(seed)
@@ -103,14 +103,14 @@
         self.timestamps: dict[str, int] = {}
         self.seconds = 9.0 if short else 16.0
 
-    def event_log(self, name: str) -> Path:
+    def event_log_path(self, name: str) -> Path:
         return self.folder / f"{name}.jsonl"
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        return list(read_events(self.event_log(name)))
+        return list(read_events(self.event_log_path(name)))
 
     def write(self, name: str, text: str) -> None:
-        """Replace the file atomically, as the tool does."""
+        """Replace the file atomically, as ``arrowrail config write`` does."""
         temporary = self.folder / "conf" / f".{name}.new"
         temporary.write_text(text, encoding="utf-8")
         temporary.replace(self.folder / "conf" / name)
@@ -122,7 +122,7 @@
         wait_until(lambda: is_listening(self.ports[app]), f"sidecar {app}")
 
     def start_app(self, app: str, name: str, seconds: float, surge: str, single_connection: bool) -> None:
-        arguments = ["--to", f"127.0.0.1:{self.ports[app]}", "--ledger", str(self.event_log(name)),
+        arguments = ["--to", f"127.0.0.1:{self.ports[app]}", "--ledger", str(self.event_log_path(name)),
                      "--seed", str(self.random.randrange(1 << 30)), "--rate", str(RATE),
                      "--seconds", str(seconds), "--surge", surge, "--lines", "4"]  # fmt: skip
         for class_name, weight in (("alarm-video", 1), ("engineer-call", 2), ("status-report", 7)):
@@ -133,7 +133,7 @@
             name, "arrowrail.lab.application", *arguments, *(["--narrow"] if single_connection else [])
         )
 
-    def set_up(self) -> None:
+    def start_processes(self) -> None:
         (self.folder / "conf").mkdir()
         self.write("inventory.rail", _inventory(self.ports, POOLS))
         for app in APPS:
@@ -144,12 +144,12 @@
             fault = ["--fault", f"cut:{reset_at_s:.2f}:1"] if name == faulty else []
             self.processes.start(
                 name, "arrowrail.lab.exchange", "--listen", f"127.0.0.1:{self.ports[name]}",
-                "--ledger", str(self.event_log(name)), "--circuits", "200",
+                "--ledger", str(self.event_log_path(name)), "--circuits", "200",
                 "--seed", str(self.random.randrange(1 << 30)), *fault,
             )  # fmt: skip
         self.processes.start(
             "bus", "arrowrail.lab.bus", "--listen", f"127.0.0.1:{self.ports['bus']}",
-            "--ledger", str(self.event_log("bus")),
+            "--ledger", str(self.event_log_path("bus")),
         )  # fmt: skip
         for name in (*EXCHANGES, "bus"):
             wait_until(lambda n=name: is_listening(self.ports[n]), name)  # type: ignore[misc]
@@ -187,9 +187,9 @@
         time.sleep(self.random.uniform(0.05, 0.4))
         removed = self.random.choice(POOLS["kumamoto"])
         self.removed = removed
-        kept = [name for name in POOLS["kumamoto"] if name != removed]
-        self.write("inventory.rail", _inventory(self.ports, POOLS | {"kumamoto": kept}))
-        self.timestamps["taken out"] = time.time_ns()
+        remaining = [name for name in POOLS["kumamoto"] if name != removed]
+        self.write("inventory.rail", _inventory(self.ports, POOLS | {"kumamoto": remaining}))
+        self.timestamps["removed"] = time.time_ns()
         self.reload()
         sleep_until(surge_start_s + surge_s)
         self.timestamps["surge over"] = time.time_ns()
@@ -215,11 +215,11 @@
 
 
 def run_drill(seed: int, folder: Path, short: bool = False) -> DrillResult:
-    """Run the drill in an empty folder; takes about 25 s, or 15 s in its short form."""
+    """Run the drill in an empty folder, which takes about 25 s, or 15 s in its short form."""
     drill = SidecarDrill(seed, folder, short)
     report = CheckReport()
     with drill.processes:
-        drill.set_up()
+        drill.start_processes()
         drill.run_scenario()
         report.violations += drill.processes.unexpected_exits()
         codes = drill.stop()
@@ -264,7 +264,7 @@
             if app == "lifts":
                 report.expect(
                     later_count > 0 and later_share >= MIN_ESTABLISHED_SHARE,
-                    f"{app}: {later_share:.4f} of {later_count} were established later",
+                    f"{app}: {later_share:.4f} of {later_count} calls were established after the kills",
                 )
         else:
             refused = [answer for answers in calls.values() for answer in answers if answer["status"] == 503]
@@ -277,13 +277,13 @@
             checks.check_release_notified(
                 report, app, events_by_exchange, events, calls, 8 * S, timestamps["end"]
             )
-    checks.check_attempts(report, by_call, MAX_ATTEMPTS, PAUSE, exempt_calls)
+    checks.check_attempts(report, by_call, MAX_ATTEMPTS, RELEASE_PAUSE_NS, exempt_calls)
     checks.check_no_new_calls(
-        report, drill.drained, events_by_exchange[drill.drained], timestamps["drain"], DRAIN_GRACE
+        report, drill.drained, events_by_exchange[drill.drained], timestamps["drain"], DRAIN_GRACE_NS
     )
     checks.check_no_new_calls(
-        report, drill.removed, events_by_exchange[drill.removed], timestamps["taken out"],
-        MAX_RELOAD_TIME + DRAIN_GRACE,
+        report, drill.removed, events_by_exchange[drill.removed], timestamps["removed"],
+        MAX_RELOAD_NS + DRAIN_GRACE_NS,
     )  # fmt: skip
     report.metrics["set-ups"] = sum(len(attempts) for attempts in by_call.values())
     report.metrics["calls tried again"] = sum(1 for attempts in by_call.values() if len(attempts) > 1)
