--- a/arrowrail/lab/bench.py
+++ b/arrowrail/lab/bench.py
@@ -41,7 +41,7 @@
 
 
 def write_site(folder: Path, applications: int) -> int:
-    """Write that many applications and an inventory of proportional size; returns the number of lines."""
+    """Write that many applications and an inventory of proportional size, and return the number of lines."""
     exchanges = max(4, applications)
     lines = ['site: {label: "bench"}']
     lines += [f'district: "d{n}": numbers: ["{n}"]' for n in range(10)]
@@ -68,6 +68,7 @@
 
 
 def measure_checker(sizes: tuple[int, ...] = (10, 100, 1000)) -> Iterator[dict[str, Any]]:
+    """Measure the time of checking folders with different numbers of applications."""
     for size in sizes:
         with tempfile.TemporaryDirectory() as name:
             line_count = write_site(Path(name), size)
@@ -127,7 +128,7 @@
 
 
 def run_calls(core: Core, signalling: InstantSignalling, first: int, count: int) -> float:
-    """CPU time in seconds of that many calls, 40 ms apart, on eight connections."""
+    """Run that many calls, 40 ms apart, on eight connections, and return their CPU time in seconds."""
     gc.collect()
     started = time.process_time()
     for n in range(first, first + count):
@@ -140,26 +141,27 @@
 
 
 def measure_limits(rounds: int = 20, count: int = 500) -> dict[str, Any]:
+    """Compare the CPU time of calls with and without limits, alternately and without sockets."""
     with tempfile.TemporaryDirectory() as name:
         write_site(Path(name), 4)
         sides = [build_core(Path(name), limited) for limited in (True, False)]
-    times: list[list[float]] = [[], []]
-    for number in range(rounds):
-        for side in (0, 1) if number % 2 else (1, 0):
-            times[side].append(run_calls(*sides[side], number * count, count))
+    cpu_times: list[list[float]] = [[], []]
+    for round_number in range(rounds):
+        for side in (0, 1) if round_number % 2 else (1, 0):
+            cpu_times[side].append(run_calls(*sides[side], round_number * count, count))
     for core, signalling in sides:
         if core.internal_errors or signalling.answer_count < (rounds - 1) * count:
             raise RuntimeError("some calls were not answered")
-    ratios = [a / b for a, b in zip(*times, strict=True)]
+    ratios = [a / b for a, b in zip(*cpu_times, strict=True)]
     return {
-        "us a call with limits": round(1e6 * statistics.median(times[0]) / count, 1),
-        "us a call without": round(1e6 * statistics.median(times[1]) / count, 1),
+        "us a call with limits": round(1e6 * statistics.median(cpu_times[0]) / count, 1),
+        "us a call without": round(1e6 * statistics.median(cpu_times[1]) / count, 1),
         "ratio between core and admission": round(statistics.median(ratios), 3),
     }
 
 
 def cpu_seconds(pid: int) -> float:
-    """User and system CPU time of a process."""
+    """Return the user and system CPU time of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
@@ -183,7 +185,10 @@
 
 
 def measure_on_sockets(feature: str = "limits", seconds: float = 20.0, rate: float = 150.0) -> dict[str, Any]:
-    """Compare two sidecars under the same load on real sockets, one of them without limits or a group."""
+    """Compare two sidecars under the same load on real sockets, with and without ``feature``.
+
+    ``feature`` is ``limits`` or ``group``.
+    """
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         conf = folder / "conf"
@@ -242,11 +247,11 @@
     }
 
 
-# --- Memory of the plain controller -----------------------------------------------------------------------
+# --- Memory of the controller without a sidecar -----------------------------------------------------------
 
 
 def run_memory(root: Path) -> float:
-    """Resident memory in MB of an idle controller, started from ``root`` in the way the platform does."""
+    """Return the resident memory in MB of an idle controller, started from ``root`` as the platform does."""
     with tempfile.TemporaryDirectory() as name:
         config = json.loads((ROOT / "examples" / "config.json").read_text())
         port = free_ports(1)[0]
@@ -258,7 +263,7 @@
             env=dict(os.environ, PROXY_CONFIG=str(path), PYTHONPATH=str(root)),
         )  # fmt: skip
         try:
-            wait_until(lambda: is_listening(port), "a plain controller")
+            wait_until(lambda: is_listening(port), "the controller")
             return round(resident_mb(child.pid), 2)
         finally:
             child.terminate()
@@ -266,6 +271,7 @@
 
 
 def measure_memory(commit: str) -> dict[str, Any]:
+    """Measure the memory of an idle controller, and of the one at ``commit`` unless that is empty."""
     results: dict[str, Any] = {"plain run, MB": run_memory(ROOT)}
     if commit:
         archive_data = subprocess.run(
@@ -278,12 +284,13 @@
     return results
 
 
-def run(before: str) -> Iterator[tuple[str, Any]]:
+def run(commit: str) -> Iterator[tuple[str, Any]]:
+    """Yield the name and results of each benchmark; ``commit`` is compared by memory use unless empty."""
     yield "check", list(measure_checker())
     yield "limits, no sockets", measure_limits()
     yield "limits, on sockets", measure_on_sockets()
     yield "duties, on sockets", measure_on_sockets("group")
-    yield "memory", measure_memory(before)
+    yield "memory", measure_memory(commit)
     yield "a death's duties", [measure_reassignment(size) for size in (5, 50, 500)]
     yield (
         "group, simulated",
--- a/arrowrail/lab/modelcheck.py
+++ b/arrowrail/lab/modelcheck.py
@@ -46,7 +46,7 @@
 
     no_margin: bool = False  # a holder relies on the whole duration of a promise
     no_quorum: bool = False  # one vote is enough
-    no_memory: bool = False  # promises are lost in a crash, and the restarted voter grants at once
+    no_persistence: bool = False  # promises are lost in a crash, and the restarted voter grants at once
 
 
 ALL_SAFEGUARDS = DisabledSafeguards()
@@ -135,7 +135,7 @@
         self.config: LeaseConfig = config_class(PROMISE_DURATION, DRIFT_PPM, frozenset(INSTANCES))
         self.duties = tuple(f"d{n}" for n in range(bounds.duties))
 
-    def start(self) -> State:
+    def initial_state(self) -> State:
         count = len(INSTANCES)
         return State(
             ((NO_PROMISE,) * len(self.duties),) * count,
@@ -145,7 +145,7 @@
     # --- The search -------------------------------------------------------------------------------------
 
     def run(self) -> CheckResult:
-        start_state = self.start()
+        start_state = self.initial_state()
         predecessors: dict[State, tuple[State, str] | None] = {start_state: None}
         queue = deque([(start_state, 0)])
         complete = True
@@ -196,7 +196,7 @@
         epochs: dict[tuple[int, int], int] = {}
         for duty, epoch, instance in state.held_epochs:
             if epochs.setdefault((duty, epoch), instance) != instance:
-                return f"epoch {epoch} of {self.duties[duty]} was held by two"
+                return f"epoch {epoch} of {self.duties[duty]} was held by two instances"
         return ""
 
     # --- Steps ------------------------------------------------------------------------------------------
@@ -329,9 +329,9 @@
         return self._with_claim(state, receiver, duty_index, replace(claim, not_before=0))
 
     def _restart(self, state: State, instance: int) -> State:
-        """Leases held are lost; promises are read back, or lost if that safeguard is disabled."""
+        """Restart an instance: its leases are lost, its promises are read back if they are persistent."""
         restored: tuple[Promise, ...]
-        if self.disabled.no_memory:
+        if self.disabled.no_persistence:
             restored = (NO_PROMISE,) * len(self.duties)
         else:
             restored = tuple(restore_promise(promise, BASE_TIME) for promise in state.promises[instance])
--- a/arrowrail/lab/simgroup.py
+++ b/arrowrail/lab/simgroup.py
@@ -1,8 +1,8 @@
-"""Simulated groups, at sizes that would not fit on one machine as processes; used by the benchmark.
+"""Groups in simulated time, at sizes that would not fit on one machine as processes; for the benchmark.
 
 Measures messages and bytes per instance and second, the time until a failure is detected and its duties are
-held again, false suspicions, and duties moved.  A fixed few instances are voters, which take part in
-everything else as well.
+held again, false suspicions, and duties moved.  The first ``VOTERS`` instances vote on leases, and take part
+in everything else as well.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
         self.shards = {shard_of(duty) for duty in self.duties}
         self.stored_promises: dict[str, dict[str, Promise]] = {}
         self.instances: dict[str, Instance] = {}
-        self.death_heard_at: dict[str, int] = {}  # by instance: when it first listed a member as dead
+        self.death_known_at: dict[str, int] = {}  # by instance: when it first listed a member as dead
         self.suspicions = 0
         for name in self.names:
             self.start(name)
@@ -57,7 +57,7 @@
         for change in instance.swim.changes:
             self.suspicions += change.state == SUSPECT
             if change.state == DEAD:
-                self.death_heard_at.setdefault(name, self.network.now)
+                self.death_known_at.setdefault(name, self.network.now)
         self.apply_effects(name, instance.tick(self.network.clock(name)))
         self.network.schedule(self.network.now + TICK_NS, lambda: self.tick(name, instance))
 
@@ -88,7 +88,7 @@
 
 
 def measure_group(size: int, duties: int, seconds: float, seed: int = 1) -> dict[str, Any]:
-    """A steady group, then the failure of one instance: message rates, detection and takeover times."""
+    """Measure the message rates of a steady group, then detection and takeover after one instance crashes."""
     group = SimGroup(size, duties, seed, 10 * S)
     group.run(20 + size / 10)
     group.network.messages_sent.clear()
@@ -101,21 +101,21 @@
     size_bytes = [n / elapsed_s for n in group.network.bytes_sent.values()]
     voters = [group.network.messages_sent.get(n, 0) / elapsed_s for n in group.names[:VOTERS]]
     false_suspicions, held_leases = group.suspicions, group.held_leases()
-    group.death_heard_at.clear()
+    group.death_known_at.clear()
     victim, died_at = group.names[-1], group.network.now
     group.crash(victim)
     while group.network.now - died_at < 60 * S and (
-        not group.death_heard_at or group.held_leases() < len(group.shards)
+        not group.death_known_at or group.held_leases() < len(group.shards)
     ):
         group.run(0.5)
-    detection_s = sorted((t - died_at) / S for t in group.death_heard_at.values())
+    detection_s = sorted((t - died_at) / S for t in group.death_known_at.values())
     return {
         "instances": size, "duties": duties, "leases held": held_leases,
-        "messages per instance and s, mean": round(statistics.mean(messages), 1),
-        "bytes per instance and s, mean": round(statistics.mean(size_bytes)),
-        "messages per voter and s, mean": round(statistics.mean(voters), 1),
+        "messages an instance a s, mean": round(statistics.mean(messages), 1),
+        "bytes an instance a s, mean": round(statistics.mean(size_bytes)),
+        "messages of a voter a s, mean": round(statistics.mean(voters), 1),
         "false suspicions": false_suspicions,
-        "instances know of the death after s, p50":
+        "death known to all but it after s, p50":
             detection_s[len(detection_s) // 2] if detection_s else None,
         "max": detection_s[-1] if detection_s else None,
         "all duties held again after s": round((group.network.now - died_at) / S, 1),
@@ -123,10 +123,10 @@
 
 
 def measure_reassignment(size: int, duties: int = 10_000) -> dict[str, Any]:
-    """How many duties one failure moves, compared with the failed instance's own."""
+    """Count the duties that one failure moves, compared with the failed instance's own."""
     names = [f"i{n}" for n in range(size)]
     duty_names = [f"probe:{n}" for n in range(duties)]
     before = assign(duty_names, names)
     after = assign(duty_names, names[1:])
-    return {"instances": size, "duties": duties, "own duties": len(duties_of(names[0], before)),
-            "moved": count_moved(before, after), "even share": duties // size}  # fmt: skip
+    return {"instances": size, "duties": duties, "its own": len(duties_of(names[0], before)),
+            "moved": count_moved(before, after), "even part": duties // size}  # fmt: skip
--- a/arrowrail/lab/simnet.py
+++ b/arrowrail/lab/simnet.py
@@ -1,4 +1,4 @@
-"""Simulated network and clocks for testing decision code: one true time, and a drifting clock per node.
+"""Simulated network and clocks for testing code without I/O: one true time, and a drifting clock per node.
 
 Messages are delayed, duplicated, reordered or lost as drawn from the seed and the faults in force.  Nothing
 sleeps: a simulated hour takes as long as its events.
@@ -29,14 +29,14 @@
         return self.offset + true_time * (MILLION + self.drift_ppm) // MILLION
 
     def true_until(self, true_time: int, local_time: int) -> int:
-        """The earliest true time at which this clock reads at least ``local_time``."""
-        left = max(0, local_time - self.read(true_time))
-        return true_time + left * MILLION // (MILLION + self.drift_ppm) + 1
+        """Return the earliest true time at which this clock reads at least ``local_time``."""
+        remaining = max(0, local_time - self.read(true_time))
+        return true_time + remaining * MILLION // (MILLION + self.drift_ppm) + 1
 
 
 @dataclass(slots=True)
 class NetworkFaults:
-    """Faults in force."""
+    """The faults that the network injects."""
 
     loss_rate: float = 0.0
     duplicate_rate: float = 0.0
@@ -108,6 +108,7 @@
         receive(sender, message)
 
     def run(self, until: int, after_each: Callable[[], None] | None = None) -> None:
+        """Advance to the true time ``until``; ``after_each`` is called after each event."""
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
             action()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -196,7 +196,7 @@
     [
         (DisabledSafeguards(no_margin=True), Bounds(depth=11, crashes=0), "hold d0"),
         (DisabledSafeguards(no_quorum=True), Bounds(depth=7), "hold d0"),
-        (DisabledSafeguards(no_memory=True), Bounds(depth=7), "hold d0"),
+        (DisabledSafeguards(no_persistence=True), Bounds(depth=7), "hold d0"),
     ],
 )  # fmt: skip
 def test_the_check_finds_the_violation_that_each_safeguard_prevents(
