--- a/arrowrail/lab/application.py
+++ b/arrowrail/lab/application.py
@@ -25,7 +25,7 @@
 
 
 class Connection:
-    """One connection of the application; it is reopened when it is lost."""
+    """One connection of the application, which is reopened when it is lost."""
 
     def __init__(self, app: StandInApplication, number: int) -> None:
         self.app, self.number = app, number
@@ -76,12 +76,12 @@
     def __init__(
         self, loop: Loop, address: str, event_log: EventLog, seed: int, connection_count: int, rate: float,
         seconds: float, classes: dict[str, float], numbers: list[str], patience_ms: int,
-        surge: tuple[float, float, float], narrow: bool = False,
+        surge: tuple[float, float, float], single_connection: bool = False,
     ) -> None:  # fmt: skip
         self.loop, self.address, self.event_log = loop, address, event_log
         self.random = random.Random(seed)
         self.classes, self.numbers, self.patience_ms = classes, numbers, patience_ms
-        self.narrow = narrow  # calls of the surge use one connection only
+        self.single_connection = single_connection  # calls of the surge use one connection only
         self.connections = [Connection(self, number) for number in range(connection_count)]
         self.started_ns, self.stopped = loop.now, False
         factor, surge_start_s, surge_s = surge
@@ -110,7 +110,7 @@
         if not usable:
             self.event_log.record("no_line", call=call, kind=class_name)
             return
-        connection = usable[0] if surging and self.narrow else self.random.choice(usable)
+        connection = usable[0] if surging and self.single_connection else self.random.choice(usable)
         head = (
             f"INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP app\r\nCall-ID: {call}\r\n"
             f"CSeq: 1 INVITE\r\nSubject: {class_name}\r\nX-Patience: {self.patience_ms}\r\n"
--- a/arrowrail/lab/bus.py
+++ b/arrowrail/lab/bus.py
@@ -1,7 +1,7 @@
 """A stand-in event bus: sends numbered events as server-sent events.
 
 ``python -m arrowrail.lab.bus --listen ADDRESS --ledger FILE``; each line of its standard input is a list of
-targets as JSON, which is published as the next event.  A subscriber that gives the number of the last event
+targets as JSON, which is published as the next event.  A subscriber that gives the offset of the last event
 it has received is sent the later ones.
 """
 
@@ -62,8 +62,8 @@
 class StandInBus:
     """Publishes events to all subscribers, and keeps them for later ones."""
 
-    def __init__(self, loop: Loop, address: str, event_log: EventLog, first_number: int = 1) -> None:
-        self.loop, self.event_log, self.first_number = loop, event_log, first_number
+    def __init__(self, loop: Loop, address: str, event_log: EventLog, first_offset: int = 1) -> None:
+        self.loop, self.event_log, self.first_offset = loop, event_log, first_offset
         self.events: list[dict[str, Any]] = []
         self.subscribers: list[Subscriber] = []
         self.listener = Listener(
@@ -72,10 +72,11 @@
         self._send_keepalive()
 
     def publish(self, targets: list[dict[str, Any]]) -> None:
-        number = len(self.events) + self.first_number
-        event = {"offset": number, "topology": {"rev": number, "all": number == 1, "targets": targets}}
+        """Send list entries as the next event; event 1 is a snapshot of the list, later ones are changes."""
+        offset = len(self.events) + self.first_offset
+        event = {"offset": offset, "topology": {"rev": offset, "all": offset == 1, "targets": targets}}
         self.events.append(event)
-        self.event_log.record("told", offset=number, targets=targets)
+        self.event_log.record("told", offset=offset, targets=targets)
         for subscriber in list(self.subscribers):
             subscriber.send_event(event)
 
@@ -89,7 +90,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--listen", required=True)
     parser.add_argument("--ledger", required=True)
-    parser.add_argument("--first", type=int, default=1, help="number of the first event")
+    parser.add_argument("--first", type=int, default=1, help="offset of the first event")
     arguments = parser.parse_args()
     loop, event_log = Loop(), EventLog(arguments.ledger)
     bus = StandInBus(loop, arguments.listen, event_log, arguments.first)
--- a/arrowrail/lab/checks.py
+++ b/arrowrail/lab/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a drill's rules on event logs: what callers sent and received, and what exchanges received.
+"""Checks of the event logs of a drill: what callers sent and received, and what exchanges received.
 
 No log or counter of the program itself is read.  Times are Unix times in ns from several processes on one
 machine; ``TOLERANCE_NS`` covers the delay between a socket operation and its record in the event log.
@@ -73,7 +73,7 @@
 
 
 def collect_attempts(events_by_exchange: Mapping[str, Iterable[Event]]) -> dict[str, list[Attempt]]:
-    """All set-ups that reached an exchange, by call and in order of time."""
+    """Return all set-ups that reached an exchange, by call and in order of time."""
     by_call: dict[str, list[Attempt]] = defaultdict(list)
     for exchange, events in events_by_exchange.items():
         current: dict[str, Attempt] = {}
@@ -143,7 +143,7 @@
 def established_share(
     calls: Mapping[str, list[Event]], events: Iterable[Event], since_ns: int, until_ns: int
 ) -> tuple[float, int]:
-    """The share of the calls sent within a time span that were established, and the number of these calls."""
+    """Return the share of the calls sent in a time span that were established, and the number sent."""
     sent = [
         event["call"] for event in events if event["what"] == "sent" and since_ns <= event["t"] < until_ns
     ]
--- a/arrowrail/lab/commands.py
+++ b/arrowrail/lab/commands.py
@@ -15,9 +15,9 @@
 from arrowrail.lab.event_log import EventLog
 from arrowrail.loop import READ, Loop
 
-CHUNK = 64 * 1024
+READ_SIZE = 64 * 1024
 TICK_NS = 20 * MS  # interval of the timer by which delayed scheduling is detected
-LATE_NS = 40 * MS  # an iteration that is later than this is recorded
+LATE_NS = 40 * MS  # an iteration whose delay is longer is recorded
 
 
 def read_commands(loop: Loop, handle_command: Callable[[Any], None]) -> None:
@@ -25,7 +25,7 @@
     buffer = bytearray()
 
     def on_readable(_mask: int) -> None:
-        data = os.read(0, CHUNK)
+        data = os.read(0, READ_SIZE)
         if not data:
             loop.unwatch(sys.stdin)
         buffer.extend(data)
--- a/arrowrail/lab/event_log.py
+++ b/arrowrail/lab/event_log.py
@@ -1,6 +1,6 @@
 """Event log of a stand-in program: one JSON object per line, with a Unix time in ns.
 
-Records are written to the file once per iteration of the program's event loop.
+Records are buffered, and written to the file once per iteration of the program's event loop.
 """
 
 from __future__ import annotations
--- a/arrowrail/lab/exchange.py
+++ b/arrowrail/lab/exchange.py
@@ -2,8 +2,8 @@
 
 ``python -m arrowrail.lab.exchange --listen ADDRESS --ledger FILE [--circuits N] [--seed N] ...``
 
-It records every set-up, answer, refusal and release in its event log.  A fault is ``WHAT:FROM:SECONDS``,
-counted from the start of the process, or a line ``{"fault": WHAT, "seconds": S}`` on its standard input:
+It records every set-up, answer, refusal and release in its event log.  A fault is ``KIND:FROM:SECONDS``,
+counted from the start of the process, or a line ``{"fault": KIND, "seconds": S}`` on its standard input:
 ``silent`` accepts set-ups and answers none, ``full`` refuses all because no circuit is free, ``error``
 refuses all with an error cause, ``slow`` answers after ten times the usual delay, ``spoil`` sends invalid
 bytes instead of an answer, ``twice`` sends each answer two times, ``cut`` resets its connections once.
@@ -30,7 +30,7 @@
 S = 1_000 * MS
 MEDIA = "c=IN IP4 127.0.0.1\r\nm=audio 31000 RTP/AVP 0\r\n"
 INVALID_MESSAGE = b"\x0f\xff\x09" + b"\x5a" * 61  # its message type is unknown
-ERROR_CAUSE = 47
+ERROR_CAUSE = 47  # Q.850: resource unavailable
 RELEASE_REPEAT_NS = 8 * S  # how long a release is repeated on newly opened connections
 GROUP_STATE_INTERVAL_NS = 100 * MS  # minimum time between two reports of the trunk group's state
 
@@ -94,12 +94,14 @@
 
 
 class StandInExchange:
+    """Answers the set-ups of controllers, ends each call after its holding time, and injects faults."""
+
     def __init__(
         self, loop: Loop, address: str, event_log: EventLog, circuits: int = 100, seed: int = 1,
         set_up_ms: float = 40.0, hold_ms: float = 1500.0, faults: tuple[Fault, ...] = (),
-        class_holds: dict[str, float] | None = None, name: str = "desk",
+        class_hold_ms: dict[str, float] | None = None, name: str = "desk",
     ) -> None:  # fmt: skip
-        self.name, self.class_holds = name, class_holds or {}
+        self.name, self.class_hold_ms = name, class_hold_ms or {}
         self.loop, self.event_log, self.circuits = loop, event_log, circuits
         self.random = random.Random(seed)
         self.set_up_ms, self.hold_ms, self.faults = set_up_ms, hold_ms, faults
@@ -122,7 +124,7 @@
         return any(f.kind == kind and f.start_ns <= elapsed < f.end_ns for f in self.faults)
 
     def execute(self, command: Any) -> None:
-        """Execute a command: start a fault now, for the given number of seconds."""
+        """Start the fault of a command now, for the given number of seconds."""
         elapsed = self.loop.now - self.started_ns
         fault = Fault(command["fault"], elapsed, elapsed + int(command.get("seconds", 0.0) * S))
         self.event_log.record("fault", **command)
@@ -150,7 +152,7 @@
             self._probe(connection, message)
 
     def _probe(self, connection: ControllerConnection, message: BinaryMessage) -> None:
-        """Answer a probe with the fencing token ``DUTY EPOCH RUN HOLDER``; an outdated epoch is refused."""
+        """Answer a probe with the fencing token ``DUTY EPOCH RUN HOLDER`` in it; refuse an outdated epoch."""
         duty, epoch, run, holder = [*message.number.split(" "), "0", "0", ""][:4]
         latest_epoch = self.latest_epochs.get(duty, 0)
         fresh = int(epoch) >= latest_epoch
@@ -180,7 +182,7 @@
         active_call.timer = self.loop.timers.schedule(
             self.loop.now + int(delay_ms * MS), lambda: self._answer(message.call_id)
         )
-        self._group_changed()
+        self._report_group_state()
 
     def _answer(self, call_id: int) -> None:
         active_call = self.calls.get(call_id)
@@ -194,13 +196,13 @@
             answer = BinaryMessage(binary.ANSWER, call_id, session_description=self.description(call_id))
             for _ in range(2 if self._is_active("twice") else 1):
                 active_call.connection.send(answer)
-        hold_ms = self.class_holds.get(active_call.class_name, self.hold_ms) * self.random.uniform(0.5, 1.5)
+        hold_ms = self.class_hold_ms.get(active_call.class_name, self.hold_ms) * self.random.uniform(0.5, 1.5)
         active_call.timer = self.loop.timers.schedule(
             self.loop.now + int(hold_ms * MS), lambda: self._end(call_id)
         )
 
     def description(self, call_id: int) -> bytes:
-        """The session description in the answer to a call, which no other answer contains."""
+        """Return the session description of the answer to a call, which is unique to exchange and call."""
         return f"o={self.name} {call_id:016x}\r\n{MEDIA}".encode()
 
     def _end(self, call_id: int) -> None:
@@ -223,7 +225,7 @@
         active_call = self.calls.pop(call_id, None)
         if active_call is not None and active_call.timer is not None:
             active_call.timer.cancel()
-        self._group_changed()
+        self._report_group_state()
 
     def connection_lost(self, connection: ControllerConnection) -> None:
         """Drop the unanswered set-ups of a closed connection; established calls continue."""
@@ -233,7 +235,7 @@
                 self.event_log.record("dropped", call=f"{call_id:016x}")
                 self._remove(call_id)
 
-    def _group_changed(self) -> None:
+    def _report_group_state(self) -> None:
         if self.loop.now - self._group_state_sent_ns >= GROUP_STATE_INTERVAL_NS:
             self._group_state_sent_ns = self.loop.now
             for connection in list(self.connections):
@@ -241,7 +243,7 @@
 
 
 def parse_fault(text: str) -> Fault:
-    """Parse ``WHAT:FROM:SECONDS``."""
+    """Parse ``KIND:FROM:SECONDS``."""
     kind, start_s, duration_s = text.split(":")
     return Fault(kind, int(float(start_s) * S), int((float(start_s) + float(duration_s)) * S))
 
--- a/arrowrail/lab/observers.py
+++ b/arrowrail/lab/observers.py
@@ -14,7 +14,7 @@
 from arrowrail.wire.binary import messages as binary
 
 EVENT_NAMES = {binary.SET_UP: "set_up", binary.ANSWER: "answer", binary.RELEASE: "release"}
-OFFSET = re.compile(rb'"offset":(\d+)[,}]')
+OFFSET_PATTERN = re.compile(rb'"offset":(\d+)[,}]')
 MAX_OFFSET_SIZE = 32  # bytes at the end of a chunk that may hold an incomplete offset
 _connections = itertools.count(1)
 
@@ -23,13 +23,13 @@
     """Receives the bytes of one proxied connection; the client is the program under test."""
 
     def from_client(self, data: bytes) -> None:
-        """Bytes that the program has written."""
+        """Observe bytes that the program has sent."""
 
     def to_client(self, data: bytes) -> None:
-        """Bytes that the program can read."""
+        """Observe bytes that the program can read."""
 
     def connection_ended(self, by: str) -> None:
-        """The connection has ended; ``by`` is ``client`` or ``reset``."""
+        """Observe the end of the connection; ``by`` is ``client`` or ``reset``."""
 
 
 class NullObserver:
@@ -98,7 +98,7 @@
             return  # the program has closed the connection
         buffer = self._unparsed + data
         end = 0
-        for match in OFFSET.finditer(buffer):
+        for match in OFFSET_PATTERN.finditer(buffer):
             end = match.end()
             self._event_log.record("discovery_event", route=self._route, offset=int(match[1]))
         self._unparsed = buffer[max(end, len(buffer) - MAX_OFFSET_SIZE) :]
--- a/arrowrail/lab/platform.py
+++ b/arrowrail/lab/platform.py
@@ -40,7 +40,7 @@
     started_ms: int = 0  # Unix time of the start, if it is recent; 0: long ago
 
     def to_entry(self) -> dict[str, Any]:
-        """The entry as discovery events contain it."""
+        """Return the entry in the form that discovery events contain."""
         return {
             "uid": self.uid, "endpoint": self.address, "az": self.zone, "model": "std",
             "pod_group": self.exchange, "state": self.state, "capacity_hint": 1, "boot_ms": self.started_ms,
@@ -69,7 +69,7 @@
         return max(c.deadline_ms for c in self.classes)
 
     def settings(self, rank: int = 0) -> dict[str, Any]:
-        """The ``settings`` object of one controller's configuration file."""
+        """Return the ``settings`` object of one controller's configuration file."""
         return {
             "classes": [
                 {"name": c.name, "worth": c.worth, "late-share": 0.25, "objective-ns": c.aim_ms * MS,
@@ -103,7 +103,7 @@
 
 
 def discovery_event(offset: int, servers: list[Server], snapshot: bool) -> dict[str, Any]:
-    """One numbered discovery event: a snapshot of the server list, or the entries that changed."""
+    """Return a discovery event: a snapshot of the server list, or the entries that changed."""
     entries = [server.to_entry() for server in servers]
     return {"offset": offset, "topology": {"rev": offset, "all": snapshot, "targets": entries}}
 
@@ -111,7 +111,7 @@
 def controller_config(
     deployment: Deployment, name: str, listen: str, discovery: str, rank: int = 0, offset: int = 1
 ) -> dict[str, Any]:
-    """The configuration of one controller; ``known`` holds a snapshot of the list as event ``offset``."""
+    """Return one controller's configuration; ``known`` holds a snapshot of the list as event ``offset``."""
     initial_event = discovery_event(offset, list(deployment.servers), True)
     return {
         "name": name, "listen": listen, "seed": f"{rank + 1:016x}",
@@ -122,7 +122,7 @@
 
 
 def write_config(path: Path, value: dict[str, Any]) -> dict[str, str]:
-    """Replace the file atomically; returns the environment variables of the controller that reads it."""
+    """Replace the file atomically, and return the environment variables of the controller that reads it."""
     temporary = path.with_suffix(".new")
     temporary.write_bytes(orjson.dumps(value))
     os.replace(temporary, path)
--- a/arrowrail/lab/processes.py
+++ b/arrowrail/lab/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of drills and tests: started with this interpreter, ended by their own process id."""
+"""Child processes of drills and tests: started with this interpreter, and ended by process id."""
 
 from __future__ import annotations
 
@@ -57,12 +57,12 @@
     raise RuntimeError("all blocks of test ports are in use")
 
 
-def wait_until(condition: Callable[[], bool], what: str, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
-    """Poll ``condition`` until it is true; ``TimeoutError`` names ``what`` was waited for."""
+def wait_until(condition: Callable[[], bool], description: str, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
+    """Poll ``condition`` until it is true; the text of ``TimeoutError`` contains ``description``."""
     deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline:
-            raise TimeoutError(f"timed out waiting for {what}")
+            raise TimeoutError(f"timed out waiting for {description}")
         time.sleep(0.02)
 
 
@@ -111,7 +111,7 @@
         child.wait(DEFAULT_TIMEOUT_S)
 
     def terminate(self, name: str) -> int:
-        """End a process by SIGTERM; returns its exit code, -1 if it had to be killed."""
+        """End a process by SIGTERM, and return its exit code, or -1 if it had to be killed."""
         child = self.running.pop(name)
         child.send_signal(signal.SIGTERM)
         try:
@@ -122,7 +122,7 @@
             return -1
 
     def unexpected_exits(self) -> list[str]:
-        """Describe the processes that have exited without being told to."""
+        """Describe the processes that have exited on their own."""
         return [
             f"{name} ended with {child.returncode}"
             for name, child in self.running.items()
--- a/arrowrail/lab/proxy.py
+++ b/arrowrail/lab/proxy.py
@@ -15,12 +15,13 @@
   the reverse.
 
 Buffered bytes are forwarded when the route returns to ``pass``, as TCP does once a link is restored; with
-``"forget": true`` the connections of before stay silent for good, as after the machine was replaced.
+``"forget": true`` the connections that are open then stay silent for good, as after the machine was replaced.
 ``reset`` is not a mode: it resets the open connections of a route once.
 
 Messages are recorded as well, where the name of the route gives its protocol: ``NAME/binary`` for set-ups,
 answers and releases, ``NAME/discovery`` for the offsets of events.  They are recorded when the program under
-test, which is the client of all routes, has sent them or can read them: that is what the program can know.
+test, which is the client of all routes, has sent them or can read them, so that the log holds what the
+program can know.
 """
 
 from __future__ import annotations
@@ -37,12 +38,12 @@
 from arrowrail.loop import READ, WRITE, Loop
 from arrowrail.state.address import parse_address
 
-CHUNK = 64 * 1024
+READ_SIZE = 64 * 1024
 MAX_BUFFERED = 1024 * 1024  # bytes buffered for one side of one connection; more stay in the kernel
 BACKLOG = 512
-MAX_QUEUE_FILLERS = 8  # most connections that are opened to fill an accept queue of length one
+MAX_QUEUE_FILLERS = 8  # maximum number of connections opened to fill an accept queue of length one
 FILL_TIMEOUT_S = 0.05
-LINGER_RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: close() sends a reset
 MODES = ("pass", "vanish", "hang", "refuse", "one_way")
 UPSTREAM, CLIENT = "upstream", "client"
 
@@ -102,7 +103,7 @@
         self.connecting = False
 
     def _read(self) -> None:
-        data = self.sock.recv(CHUNK)
+        data = self.sock.recv(READ_SIZE)
         if data:
             self.other.buffer += data
             if self.name == CLIENT:
@@ -221,7 +222,7 @@
                 sock, _address = self.listener.accept()
             except OSError:
                 return
-            ProxiedConnection(self, sock)  # kept alive by the event loop
+            ProxiedConnection(self, sock)  # referenced by the event loop
 
     def set_mode(self, mode: str, blocked_toward: str = UPSTREAM, forget: bool = False) -> None:
         """Switch to another mode; ``ValueError`` for an unknown one."""
@@ -282,7 +283,7 @@
         self.routes = {spec.name: Route(self, spec) for spec in specs}
 
     def execute(self, command: Any) -> None:
-        """Execute one command."""
+        """Execute one command of standard input, and record it as ``fault``."""
         route = self.routes[command["route"]]
         if command["do"] == "reset":
             route.reset()
--- a/arrowrail/lab/relay.py
+++ b/arrowrail/lab/relay.py
@@ -24,8 +24,8 @@
 class Relay:
     """Forwards datagrams between instances, except those lost at random or by a partition."""
 
-    def __init__(self, loop: Loop, routes: list[tuple[str, int, int]], loss: float, seed: int) -> None:
-        self.loop, self.loss, self.random = loop, loss, random.Random(seed)
+    def __init__(self, loop: Loop, routes: list[tuple[str, int, int]], loss_rate: float, seed: int) -> None:
+        self.loop, self.loss_rate, self.random = loop, loss_rate, random.Random(seed)
         self.name_by_port = {back_port: name for name, _, back_port in routes}
         self.isolated: set[str] = set()
         self.both_directions = True
@@ -45,10 +45,11 @@
             separated = (sender in self.isolated) != (receiver in self.isolated)
             if separated and (self.both_directions or sender in self.isolated):
                 continue
-            if self.random.random() >= self.loss:
+            if self.random.random() >= self.loss_rate:
                 sock.sendto(data, ("127.0.0.1", back_port))
 
     def execute(self, command: Any) -> None:
+        """Execute ``cut`` or ``heal``; a later command replaces the earlier partition."""
         self.isolated = set(command.get("cut", ()))
         self.both_directions = bool(command.get("both", True))
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 
 
 def known_failures() -> dict[str, str]:
-    """The listed tests, each with its cause and issue."""
+    """Return the listed tests, each with its cause and issue."""
     if not KNOWN_FAILURES_FILE.exists():
         return {}
     lines = [line.strip() for line in KNOWN_FAILURES_FILE.read_text(encoding="utf-8").splitlines()]
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -31,13 +31,13 @@
     exchange_count: int
 
     def inject_fault(self, route: str, mode: str, **options: object) -> float:
-        """Inject a fault; returns the time at which the command was sent."""
+        """Inject a fault, and return the time at which the command was sent."""
         now = time.monotonic()
         self.processes.send_line("proxy", json.dumps({"route": route, "do": mode, **options}).encode())
         return now
 
     def establish_calls(self, caller: Caller, first: int, count: int, exchange: int) -> list[str]:
-        """Place calls to an exchange; returns the ids of the established ones."""
+        """Place calls to an exchange, and return the ids of the established ones."""
         established = []
         for call in (f"{first + n:016x}" for n in range(count)):
             caller.invite(call, exchange=exchange, patience_ms=3000)
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -45,7 +45,7 @@
     assert "3 attempts" in report.violations[2]
 
 
-def test_calls_after_a_drain_and_ends_that_callers_are_not_told_of_are_violations() -> None:
+def test_calls_after_a_drain_and_missing_release_notifications_are_violations() -> None:
     report = CheckReport()
     events = [event(100, "set_up", "a"), event(900, "set_up", "b"), event(1000, "over", "a")]
     checks.check_no_new_calls(report, "one", events, 100 * MS, 500 * MS)
