--- a/arrowrail/lab/application.py
+++ b/arrowrail/lab/application.py
@@ -103,21 +103,21 @@
     def _place_call(self, surging: bool) -> None:
         if self.stopped:
             return
-        call = f"{self.random.getrandbits(64):016x}"
+        call_id = f"{self.random.getrandbits(64):016x}"
         class_name = self.random.choices(list(self.classes), list(self.classes.values()))[0]
         number = self.random.choice(self.numbers) + f"{self.random.randrange(1000):03d}"
         usable = [connection for connection in self.connections if connection.is_up]
         if not usable:
-            self.event_log.record("no_line", call=call, kind=class_name)
+            self.event_log.record("no_line", call=call_id, kind=class_name)
             return
         connection = usable[0] if surging and self.single_connection else self.random.choice(usable)
         head = (
-            f"INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP app\r\nCall-ID: {call}\r\n"
+            f"INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP app\r\nCall-ID: {call_id}\r\n"
             f"CSeq: 1 INVITE\r\nSubject: {class_name}\r\nX-Patience: {self.patience_ms}\r\n"
             f"Content-Length: {len(SESSION_DESCRIPTION)}\r\n\r\n"
         )
         assert connection.stream is not None
-        self.event_log.record("sent", call=call, kind=class_name, line=connection.name, surging=surging)
+        self.event_log.record("sent", call=call_id, kind=class_name, line=connection.name, surging=surging)
         connection.stream.send(head.encode() + SESSION_DESCRIPTION)
 
     def answered(self, connection: Connection, message: sip.SipMessage) -> None:
--- a/arrowrail/lab/checks.py
+++ b/arrowrail/lab/checks.py
@@ -43,7 +43,7 @@
 def check_single_answer(
     report: CheckReport, name: str, events: Iterable[Event], app_killed_ns: int = 0
 ) -> dict[str, list[Event]]:
-    """Check that each call gets exactly one final answer; none is required on a lost connection.
+    """Check that each call gets exactly one final response (event ``answer``); none is required on a lost connection.
 
     ``app_killed_ns``: the time at which the application was killed, since answers after it are not recorded.
     """
@@ -59,17 +59,17 @@
             lost_connections.add(event["line"])
         elif event["what"] == "unreadable":
             report.violations.append(f"{name}: an unreadable answer: {event['why']}")
-    for call, event in sent.items():
-        answer_count = len(answers[call])
-        report.expect(answer_count <= 1, f"{name}: call {call} got {answer_count} answers")
+    for call_id, event in sent.items():
+        answer_count = len(answers[call_id])
+        report.expect(answer_count <= 1, f"{name}: call {call_id} got {answer_count} answers")
         unrecorded = app_killed_ns and event["t"] > app_killed_ns - MAX_CALL_TIME_NS
         if answer_count == 0 and event["line"] not in lost_connections and not unrecorded:
-            report.violations.append(f"{name}: call {call} got no answer")
-    for call in answers:
+            report.violations.append(f"{name}: call {call_id} got no answer")
+    for call_id in answers:
         report.expect(
-            call in sent or not answers[call], f"{name}: an answer for {call}, which was never sent"
+            call_id in sent or not answers[call_id], f"{name}: an answer for {call_id}, which was never sent"
         )
-    return {call: answers[call] for call in sent}
+    return {call_id: answers[call_id] for call_id in sent}
 
 
 def collect_attempts(events_by_exchange: Mapping[str, Iterable[Event]]) -> dict[str, list[Attempt]]:
@@ -78,12 +78,14 @@
     for exchange, events in events_by_exchange.items():
         current: dict[str, Attempt] = {}
         for event in events:
-            call = event.get("call", "")
+            call_id = event.get("call", "")
             if event["what"] == "set_up":
-                current[call] = Attempt(exchange, event["t"])
-                by_call[call].append(current[call])
-            elif event["what"] in ("refused", "answered", "released", "dropped", "over") and call in current:
-                attempt = current[call]
+                current[call_id] = Attempt(exchange, event["t"])
+                by_call[call_id].append(current[call_id])
+            elif (
+                event["what"] in ("refused", "answered", "released", "dropped", "over") and call_id in current
+            ):
+                attempt = current[call_id]
                 if not attempt.ended_ns:
                     attempt.ended_ns, attempt.outcome = event["t"], event["what"]
     for attempts in by_call.values():
@@ -103,21 +105,21 @@
     ``exempt_calls``: calls of a sidecar that was killed; when their attempts end proves nothing.
     """
     exempt = set(exempt_calls)
-    for call, attempts in by_call.items():
-        report.expect(len(attempts) <= max_attempts, f"call {call} had {len(attempts)} attempts")
-        if call in exempt:
+    for call_id, attempts in by_call.items():
+        report.expect(len(attempts) <= max_attempts, f"call {call_id} had {len(attempts)} attempts")
+        if call_id in exempt:
             continue
         for before, after in pairwise(attempts):
             if not before.ended_ns or before.ended_ns > after.started_ns + TOLERANCE_NS:
                 report.violations.append(
-                    f"call {call}: two attempts at once, at {before.exchange} and {after.exchange}"
+                    f"call {call_id}: two attempts at once, at {before.exchange} and {after.exchange}"
                 )
             elif (
                 before.outcome in ("released", "dropped")
                 and after.started_ns - before.ended_ns < pause_ns - TOLERANCE_NS
             ):
                 report.violations.append(
-                    f"call {call}: only {(after.started_ns - before.ended_ns) // MS} ms after a set-up "
+                    f"call {call_id}: only {(after.started_ns - before.ended_ns) // MS} ms after a set-up "
                     "that was abandoned"
                 )
 
@@ -147,7 +149,7 @@
     sent = [
         event["call"] for event in events if event["what"] == "sent" and since_ns <= event["t"] < until_ns
     ]
-    established = sum(1 for call in sent if any(a["status"] == 200 for a in calls.get(call, ())))
+    established = sum(1 for call_id in sent if any(a["status"] == 200 for a in calls.get(call_id, ())))
     return (established / len(sent) if sent else 1.0), len(sent)
 
 
@@ -164,12 +166,12 @@
     byes = {event["call"] for event in app_events if event["what"] == "bye"}
     for events in events_by_exchange.values():
         for event in events:
-            call = event.get("call", "")
-            established = any(a["status"] == 200 for a in calls.get(call, ()))
+            call_id = event.get("call", "")
+            established = any(a["status"] == 200 for a in calls.get(call_id, ()))
             if (
                 event["what"] == "over"
                 and established
-                and call not in byes
+                and call_id not in byes
                 and event["t"] + limit_ns < end_ns
             ):
-                report.violations.append(f"{name}: call {call} ended and its caller was never told")
+                report.violations.append(f"{name}: call {call_id} ended and its caller was never told")
