--- a/arrowrail/lab/simgroup.py
+++ b/arrowrail/lab/simgroup.py
@@ -111,11 +111,11 @@
     detection_s = sorted((t - died_at) / S for t in group.death_heard_at.values())
     return {
         "instances": size, "duties": duties, "leases held": held_leases,
-        "messages per instance and s, mean": round(statistics.mean(messages), 1),
-        "bytes per instance and s, mean": round(statistics.mean(size_bytes)),
-        "messages per voter and s, mean": round(statistics.mean(voters), 1),
+        "messages an instance a s, mean": round(statistics.mean(messages), 1),
+        "bytes an instance a s, mean": round(statistics.mean(size_bytes)),
+        "messages of a voter a s, mean": round(statistics.mean(voters), 1),
         "false suspicions": false_suspicions,
-        "instances know of the death after s, p50":
+        "death known to all but it after s, p50":
             detection_s[len(detection_s) // 2] if detection_s else None,
         "max": detection_s[-1] if detection_s else None,
         "all duties held again after s": round((group.network.now - died_at) / S, 1),
@@ -128,5 +128,5 @@
     duty_names = [f"probe:{n}" for n in range(duties)]
     before = assign(duty_names, names)
     after = assign(duty_names, names[1:])
-    return {"instances": size, "duties": duties, "own duties": len(duties_of(names[0], before)),
-            "moved": count_moved(before, after), "even share": duties // size}  # fmt: skip
+    return {"instances": size, "duties": duties, "its own": len(duties_of(names[0], before)),
+            "moved": count_moved(before, after), "even part": duties // size}  # fmt: skip
