--- a/tests/records/test_values.py
+++ b/tests/records/test_values.py
@@ -103,3 +103,13 @@
     value = Fraction(above, below)
     for kind in (units.SHARE, units.RATE):
         assert units.read(units.write(kind, value)) == (kind, value)
+
+
+def test_quantities_beyond_float_precision_read_back() -> None:
+    """Rates and shares formatted through a float lose digits and read back as another value."""
+    quantities = [
+        (units.RATE, Fraction(45257579, 5)),
+        (units.RATE, Fraction(1, 524288)),
+        (units.SHARE, Fraction(1, 524288)),
+    ]
+    assert [units.read(units.write(kind, value)) for kind, value in quantities] == quantities
