--- a/arrowrail/config/checker.py
+++ b/arrowrail/config/checker.py
@@ -191,7 +191,7 @@
 
 
 def faults_of_application(result: CheckResult, name: str) -> list[Diagnostic]:
-    """The faults that prevent an application from starting: those in its file and the files it includes.
+    """Return the faults that keep an application from starting: those in its file and in files it includes.
 
     A fault in the file of another application must not stop this one.
     """
--- a/arrowrail/config/convert.py
+++ b/arrowrail/config/convert.py
@@ -21,7 +21,7 @@
 
 
 def convert(file: Path, folder: Path, force: bool = False) -> tuple[list[Path], list[str]]:
-    """Write ``NAME.rail`` to the folder; returns the files written and the remaining diagnostics."""
+    """Write ``NAME.rail`` to the folder; return the files written and the remaining diagnostics."""
     operator, faults = read_operator_file(file)
     if operator is None:
         raise ConvertError(*(str(fault) for fault in faults))
--- a/arrowrail/config/diagnostics.py
+++ b/arrowrail/config/diagnostics.py
@@ -320,7 +320,7 @@
         return len(self._found)
 
     def __iter__(self) -> Iterator[Diagnostic]:
-        """Ordered by file, line and column; a final one counts those omitted beyond the limit."""
+        """Yield them by file, line and column; a final one counts those omitted beyond the limit."""
         yield from sorted(
             self._found.values(), key=lambda found: (found.location, found.code, found.key_path)
         )
--- a/arrowrail/config/explain.py
+++ b/arrowrail/config/explain.py
@@ -73,7 +73,7 @@
 
 
 def reference() -> str:
-    """The reference page, in Markdown."""
+    """Return the reference page, in Markdown."""
     lines = [
         "# Reference of the operator's records",
         "",
--- a/arrowrail/config/legacy_toml.py
+++ b/arrowrail/config/legacy_toml.py
@@ -37,10 +37,14 @@
 
 
 class Table(BaseModel):
+    """Base of all tables: immutable, without implicit conversions or unknown keys."""
+
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 class ClassTable(Table):
+    """Selects the class and deadline of an M3UA client's set-up."""
+
     name: Name = Field(description="a class of the settings, 1 to 64 characters")
     deadline_ms: int = Field(ge=1, le=600_000, description="1 to 600000")
     category: Byte | None = Field(None, description="0 to 255, or absent for any")
@@ -48,6 +52,8 @@
 
 
 class NumberTable(Table):
+    """Maps a number prefix to an exchange."""
+
     prefix: Annotated[str, AfterValidator(_digits)] = Field(
         description="digits 0-9, A-E; empty for all numbers"
     )
@@ -55,6 +61,8 @@
 
 
 class DeskTable(Table):
+    """A desk exchange with M3UA-style signalling."""
+
     uid: Name = Field(description="1 to 64 characters, unique")
     address: Address = Field(description='"address:port"')
     point_code: PointCode = Field(description="0 to 16777215")
@@ -64,6 +72,8 @@
 
 
 class M3uaTable(Table):
+    """M3UA-style signalling."""
+
     enabled: bool = Field(False, description="true or false")
     listen: Address = Field("127.0.0.1:2905", description='"address:port" where clients connect')
     point_code: PointCode = Field(1, description="0 to 16777215")
@@ -79,12 +89,16 @@
 
 
 class EtcdTable(Table):
+    """The exchange list in etcd."""
+
     enabled: bool = Field(False, description="true or false")
     address: Address = Field("127.0.0.1:2379", description='"address:port" of the JSON gateway')
     prefix: str = Field("/arrowrail/desks/", min_length=1, description="a key prefix, not empty")
 
 
 class LogTable(Table):
+    """Logging."""
+
     level: str = Field(
         "INFO",
         pattern="^(TRACE|DEBUG|INFO|WARNING|ERROR)$",
@@ -93,6 +107,8 @@
 
 
 class OperatorTable(Table):
+    """Top level of the file."""
+
     application: Name = Field(description="the application's name, 1 to 64 characters")
     log: LogTable = Field(LogTable(), description="a table [log]")
     m3ua: M3uaTable = Field(M3uaTable(), description="a table [m3ua]")
@@ -151,7 +167,7 @@
 
 
 def _allowed(path: tuple[int | str, ...]) -> tuple[type[Table] | None, str]:
-    """The table that contains a key, and the description of the values allowed for it."""
+    """Return the table that contains a key, and the description of the values allowed for it."""
     table: type[Table] | None = OperatorTable
     description = "see the file"
     tables: dict[str, type[Table]] = {
--- a/arrowrail/config/loader.py
+++ b/arrowrail/config/loader.py
@@ -48,7 +48,7 @@
         self._loading: list[str] = []
 
     def names(self) -> list[str]:
-        """The names of the record files, relative to the folder, without hidden files and folders."""
+        """Return the names of the record files, relative to the folder, except hidden ones."""
         found: set[str] = set(self.replaced)
         try:
             for base, folders, files in os.walk(self.folder):
--- a/arrowrail/config/records.py
+++ b/arrowrail/config/records.py
@@ -351,5 +351,5 @@
 
 
 def all_keys() -> dict[str, Key]:
-    """All keys by path; ``*`` stands for a name."""
+    """Return all keys by path; ``*`` stands for a name."""
     return dict(iter_keys(Root)) | dict(iter_keys(ControllerFile))
--- a/arrowrail/config/rules.py
+++ b/arrowrail/config/rules.py
@@ -52,7 +52,7 @@
 
 
 def normalized_address(address: str) -> tuple[str, int]:
-    """Host and port in canonical form: ``localhost`` and IPv4-mapped addresses become IPv4 addresses."""
+    """Return host and port in canonical form: ``localhost`` and IPv4-mapped addresses become IPv4."""
     host, port = parse_address(address)
     if host == "localhost":
         host = "127.0.0.1"
@@ -66,7 +66,7 @@
 
 
 def connections_per_exchange(descriptors: int) -> int:
-    """Number of connections kept open to each exchange."""
+    """Return the number of connections kept open to each exchange."""
     return max(1, min(MAX_CONNECTIONS_PER_EXCHANGE, descriptors // DESCRIPTORS_PER_CONNECTION))
 
 
@@ -304,7 +304,7 @@
 
 
 def check_class_pools(application: Application, inventory: Inventory, diagnostics: Diagnostics) -> None:
-    """Each class needs a pool with an exchange in service in each district that is served."""
+    """Check that each class has a pool with an exchange in service in each district that is served."""
     if not application.calls and not any(key.startswith("calls.") for key in application.locations):
         diagnostics.add(
             "AR216",
@@ -520,7 +520,7 @@
 
 
 def check_listener_ports(applications: Iterable[Application], diagnostics: Diagnostics) -> None:
-    """Report listeners of different applications on the same address, or a wildcard on the same port."""
+    """Report listeners on one port of the same address, in any spelling, or of a wildcard address."""
     by_port: dict[int, list[tuple[str, Application, str, Location]]] = {}
     for application in applications:
         for name, address in (("sip", application.listen.sip), ("m3ua", application.listen.m3ua)):
@@ -542,21 +542,21 @@
 
 
 def check_groups(applications: Iterable[Application], diagnostics: Diagnostics) -> None:
-    """Instances of a group must agree on its members: on the old or the new ones during a change."""
+    """Check that instances of a group agree on its members: on the old or the new ones during a change."""
     by_name: dict[str, list[tuple[Application, Group]]] = {}
     for application in applications:
         if application.group is not None:
             by_name.setdefault(application.group.group, []).append((application, application.group))
-    for found in by_name.values():
-        first = found[0][1]
-        known = {normalized_address(group.listen) for _, group in found}
-        known |= {
+    for instances in by_name.values():
+        first = instances[0][1]
+        known_addresses = {normalized_address(group.listen) for _, group in instances}
+        known_addresses |= {
             normalized_address(address)
-            for _, group in found
+            for _, group in instances
             for address in (*group.members.values(), *group.joining.values())
         }
         group_by_instance: dict[str, Group] = {}
-        for application, group in found:
+        for application, group in instances:
             key_path = f"application.{application.name}.group"
             # During a change, one instance has the new members that another still lists as joining.
             consistent = group.members in (first.members, first.joining) or first.members == group.joining
@@ -578,7 +578,7 @@
                     other=previous.location_of("me"),
                 )
             for index, seed in enumerate(group.seeds):
-                if normalized_address(seed) not in known:
+                if normalized_address(seed) not in known_addresses:
                     diagnostics.add(
                         "AR507", group.location_of(f"seeds[{index}]"), f"{key_path}.seeds[{index}]", seed
                     )
@@ -601,7 +601,7 @@
 
 
 def _overlap(one: tuple[str, int], other: tuple[str, int]) -> bool:
-    """Whether two listeners would bind the same address and port."""
+    """Return whether two listeners would bind the same address and port."""
     return one[1] == other[1] and (one[0] == other[0] or is_wildcard(one[0]) or is_wildcard(other[0]))
 
 
--- a/arrowrail/config/schema.py
+++ b/arrowrail/config/schema.py
@@ -60,20 +60,20 @@
     name = "value"
 
     def read(self, value: Value, context: ReadContext, key_path: str) -> Any:
-        """The value as the program uses it, or ``INVALID`` after a fault."""
+        """Return the value as the program uses it, or ``INVALID`` after a fault."""
         found = concrete_value(value, context.diagnostics, key_path)
         return INVALID if isinstance(found, Bottom) else self.convert(found, context, key_path)
 
     def convert(self, found: Scalar | ListValue | Struct, context: ReadContext, key_path: str) -> Any:
-        """Convert a concrete value; returns ``INVALID`` after a fault."""
+        """Convert a concrete value; return ``INVALID`` after a fault."""
         raise NotImplementedError
 
     def describe(self) -> str:
-        """The allowed values, for messages and the reference page."""
+        """Describe the allowed values, for messages and the reference page."""
         return self.name
 
     def format(self, value: Any) -> str:
-        """The value as written in a record file."""
+        """Format a value as written in a record file."""
         raise NotImplementedError
 
     def report_wrong_type(self, found: Any, context: ReadContext, key_path: str) -> Any:
@@ -468,7 +468,7 @@
     locations: dict[str, Location] = dataclasses.field(default_factory=dict, compare=False, repr=False)
 
     def location_of(self, name: str) -> Location:
-        """The location of a key's value, or of the record if the key is not written there."""
+        """Return the location of a key's value, or of the record if the key is not written there."""
         return self.locations.get(name, self.location)
 
 
@@ -482,7 +482,7 @@
 
 
 def keys_of(cls: type[Any]) -> list[Key]:
-    """The keys of a record in the order of their definition."""
+    """Return the keys of a record in the order of their definition."""
     return [
         Key(f.name.removesuffix("_"), f.metadata["value_type"], f.metadata["doc"], f.metadata["default"])
         for f in dataclasses.fields(cls)
@@ -509,7 +509,10 @@
     name: str,
     location: Location | None = None,
 ) -> Any:
-    """Read a struct as a record; reports every fault, ``INVALID`` if a required key is missing or invalid."""
+    """Read a struct as a record and report every fault.
+
+    Return ``INVALID`` if a required key is missing or invalid.
+    """
     if not isinstance(found, Struct):
         what = str(found) if isinstance(found, Scalar) else "a list"
         context.diagnostics.add("AR202", found.location, key_path, f"{what}, expected a record")
@@ -569,7 +572,7 @@
 
 
 def iter_keys(cls: type[Any], key_path: str = "") -> Iterator[tuple[str, Key]]:
-    """All keys of a record and its nested records by path; ``*`` stands for a name."""
+    """Yield all keys of a record and its nested records by path; ``*`` stands for a name."""
     for key in keys_of(cls):
         path = _join_path(key_path, key.name)
         yield path, key
--- a/arrowrail/config/show.py
+++ b/arrowrail/config/show.py
@@ -16,6 +16,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveValue:
+    """A value in force, as written in a record file, and where it comes from."""
+
     key_path: str
     value: str
     source: str  # location in a file, or ``default``
@@ -25,7 +27,7 @@
 
 
 def values_of(record: Record, path: str) -> Iterator[EffectiveValue]:
-    """The values of a record and its nested records with their key paths."""
+    """Yield the values of a record and its nested records with their key paths."""
     for key in keys_of(type(record)):
         field = key.name if hasattr(record, key.name) else key.name + "_"
         location = record.locations.get(key.name)
@@ -63,7 +65,7 @@
 
 
 def effective_values(result: CheckResult, name: str) -> list[EffectiveValue]:
-    """The values of an application and of all inventory records that it uses."""
+    """Return the values of an application and of all inventory records that it uses."""
     application, inventory = result.applications[name], result.inventories[name]
     found = list(values_of(application, f"application.{name}"))
     if inventory.site is not None:
--- a/arrowrail/config/syntax.py
+++ b/arrowrail/config/syntax.py
@@ -164,7 +164,7 @@
         )
 
     def _single_value(self, child: Any) -> Value:
-        """The value of a single alternative, which cannot be marked as a default."""
+        """Return the value of a single alternative, which cannot be marked as a default."""
         if not isinstance(child, tuple):
             return child  # type: ignore[no-any-return]
         star, value = child
@@ -225,7 +225,10 @@
 
 
 def _may_backtrack(pattern: str) -> bool:
-    """Whether matching may take exponential time: repeated groups, back references or over three repeats."""
+    """Return whether matching may take exponential time.
+
+    That is, whether there are repeated groups, back references or more than three repeats.
+    """
     return re.search(r"\)[*+{?]|\\[0-9]", pattern) is not None or len(re.findall(r"[*+{]", pattern)) > 3
 
 
@@ -237,7 +240,7 @@
 
 
 def decode(file: str, raw: bytes, diagnostics: Diagnostics) -> str | None:
-    """Decode a file and check its limits; ``None`` after a fault."""
+    """Decode a file and check its limits; return ``None`` after a fault."""
     if len(raw) > MAX_FILE_BYTES:
         diagnostics.add("AR104", Location(file), "", f"{len(raw)} bytes, {MAX_FILE_BYTES} at most")
         return None
@@ -268,7 +271,7 @@
 
 
 def _check_nesting(file: str, text: str, diagnostics: Diagnostics) -> bool:
-    """Whether brackets match and the depth of brackets and chained labels is within the limit."""
+    """Check that brackets match and that the depth of brackets and chained labels is within the limit."""
     brackets: list[tuple[str, Location]] = []
     for line_number, line in enumerate(text.split("\n"), 1):
         in_string = escaped = False
--- a/arrowrail/config/values.py
+++ b/arrowrail/config/values.py
@@ -58,6 +58,8 @@
 
 @dataclass(slots=True)
 class ListValue:
+    """A list of values of any types."""
+
     location: Location
     items: tuple[Value, ...]
 
@@ -80,13 +82,13 @@
     _labels: frozenset[str] | None = None
 
     def labels(self) -> frozenset[str]:
-        """The labels of public entries, cached: call it only when all entries have been added."""
+        """Return the labels of public entries; cached, so call it only once all entries are added."""
         if self._labels is None or len(self._labels) > len(self.entries):
             self._labels = frozenset(label for label, _ in self.public())
         return self._labels
 
     def public(self) -> Iterator[tuple[str, Entry]]:
-        """The entries without definitions (``#name``) and hidden entries (``_name``)."""
+        """Yield the entries without definitions (``#name``) and hidden entries (``_name``)."""
         return ((label, entry) for label, entry in self.entries.items() if label[:1] not in ("#", "_"))
 
 
@@ -149,13 +151,13 @@
 
 
 def conjoin(one: Value, other: Value) -> Value:
-    """The conjunction of two values, unified only when it is read, so that references may point anywhere."""
+    """Return the conjunction of two values, unified only when read, so that references may point anywhere."""
     parts = (*(one.parts if isinstance(one, Conjunction) else (one,)), other)
     return Conjunction(one.location, parts)
 
 
 def merge_structs(one: Struct, other: Struct) -> Struct:
-    """A new struct with the entries of both; entries present in both are conjoined."""
+    """Return a new struct with the entries of both; entries present in both are conjoined."""
     if not other.entries and other.pattern is None:
         return one
     entries = dict(one.entries)
@@ -233,7 +235,7 @@
 
 
 def unify(one: Value, other: Value, diagnostics: Diagnostics, key_path: str = "") -> Value:
-    """Unify two resolved values; raises ``DiagnosticError`` if they conflict."""
+    """Unify two resolved values; raise ``DiagnosticError`` if they conflict."""
     if isinstance(one, Bottom) or isinstance(other, Bottom):
         return one if isinstance(one, Bottom) else other
     if isinstance(one, Disjunction):
@@ -267,7 +269,7 @@
 def _unify_disjunction(
     disjunction: Disjunction, other: Value, diagnostics: Diagnostics, key_path: str
 ) -> Value:
-    """The alternatives that unify with the other value; default marks are kept."""
+    """Return the alternatives that unify with the other value; default marks are kept."""
     compatible: list[tuple[bool, Value]] = []
     first_error: DiagnosticError | None = None
     others = other.alternatives if isinstance(other, Disjunction) else ((True, other),)
@@ -365,7 +367,7 @@
 def concrete_value(
     value: Value, diagnostics: Diagnostics, key_path: str
 ) -> Scalar | ListValue | Struct | Bottom:
-    """The single concrete value: the only one or the default; reports a fault if there is none."""
+    """Return the single concrete value: the only one or the default; report a fault if there is none."""
     found = resolve(value, diagnostics, key_path)
     if isinstance(found, Disjunction):
         defaults = [alternative for default, alternative in found.alternatives if default]
@@ -386,7 +388,7 @@
 
 
 def describe(value: Value) -> str:
-    """A short description of a value for messages."""
+    """Return a short description of a value for messages."""
     if isinstance(value, Scalar | Constraint | Reference):
         return str(value)
     names = {
@@ -399,7 +401,7 @@
 
 
 def parse_number(text: str, location: Location) -> Scalar:
-    """Parse a number with an optional unit; raises ``DiagnosticError`` if it is malformed."""
+    """Parse a number with an optional unit; raise ``DiagnosticError`` if it is malformed."""
     try:
         kind, value = units.read(text)
     except units.UnitError as error:
@@ -408,7 +410,7 @@
 
 
 def plain_data(value: Value, diagnostics: Diagnostics) -> object:
-    """A value as plain Python data for printing: quantities as text, disjunctions by their default."""
+    """Return a value as plain Python data for printing: quantities as text, disjunctions by their default."""
     found = concrete_value(value, diagnostics, "")
     if isinstance(found, Scalar):
         quantity = isinstance(found.value, Fraction) or found.kind in units.UNITS
--- a/arrowrail/config/writer.py
+++ b/arrowrail/config/writer.py
@@ -68,13 +68,13 @@
 
 
 def edited(text: str) -> bool:
-    """Whether a file differs from what the tool wrote, or was not written by it."""
+    """Return whether a file differs from what the tool wrote, or was not written by it."""
     first, _, body = text.partition("\n")
     return not first.startswith(HEADER_PREFIX) or first.removeprefix(HEADER_PREFIX).strip() != digest(body)
 
 
 def write_application(folder: Path, answers: Answers, force: bool = False) -> WriteResult:
-    """Write ``NAME.rail``; raises ``WriteError`` with the faults, or with the edits that need ``force``."""
+    """Write ``NAME.rail``; raise ``WriteError`` with the faults, or with the edits that need ``force``."""
     if not NAME.fullmatch(answers.application):
         raise WriteError(f"{quote(answers.application)} can't be used as a name")
     before = check_folder(folder)
@@ -121,7 +121,7 @@
 
 
 def _select(requested: tuple[str, ...], known: Iterable[str], what: str) -> list[str]:
-    """The requested names, which must be known, or all known names if none are requested."""
+    """Return the requested names, which must be known, or all known names if none are requested."""
     names = list(known)
     for name in requested:
         if name not in names:
@@ -130,10 +130,13 @@
 
 
 def _pool_for(inventory: Inventory, district: str) -> Pool | None:
-    """The pool of the same name, or else the one with most exchanges of the district in service."""
+    """Return the pool named like the district, or else the one with most of its exchanges in service.
+
+    Only pools that can serve calls, if need be through a fall-back, are considered.
+    """
 
     def serves(pool: Pool) -> bool:
-        """Whether the pool or one of its fall-backs has an exchange in service."""
+        """Return whether the pool or one of its fall-backs has an exchange in service."""
         order = fallback_order(inventory.fallbacks, pool.name)
         members = [
             inventory.exchanges[exchange]
@@ -219,6 +222,7 @@
     open_ = answers.open if answers.open is not None else min(circuits, rate_bound)
     connections = {key.name: key.default for key in keys_of(Limits)}["connections"]
     descriptors = 1024
+    # 16: rules.RESERVED_DESCRIPTORS, as in the check of the limits.
     while connections + 16 + len(reachable) * connections_per_exchange(descriptors) > descriptors:
         descriptors *= 2
     sip = answers.sip or (None if answers.m3ua else _free_port(before, inventory, answers.application))
@@ -255,7 +259,7 @@
 
 
 def _discarded_parts(before: CheckResult, after: CheckResult, name: str, old: str, new: str) -> list[str]:
-    """The values that would change and the comments that would be lost."""
+    """List the values that would change and the comments that would be lost."""
     discarded: list[str] = []
     if name in before.applications:
         current = {
--- a/tests/records/corpus.py
+++ b/tests/records/corpus.py
@@ -59,6 +59,8 @@
 
 @dataclass(frozen=True)
 class Case:
+    """An edit of one file, and the code and location of the fault that it causes."""
+
     code: str
     line: int
     column: int
--- a/tests/records/test_values.py
+++ b/tests/records/test_values.py
@@ -74,19 +74,19 @@
     assert read(text)[1] == codes
 
 
-PIECES = st.lists(
+CONJUNCTS = st.lists(
     st.sampled_from(["int", ">=2", "<=8", "*4 | int", "3 | 4 | 9", "4", "!=5", "number", "*3 | *4 | int"]),
     min_size=1, max_size=5,
 )  # fmt: skip
 
 
 @QUICK
-@given(PIECES, st.randoms(use_true_random=False))
-def test_unification_does_not_depend_on_order(pieces: list[str], shuffle: Any) -> None:
-    other = list(pieces)
+@given(CONJUNCTS, st.randoms(use_true_random=False))
+def test_unification_does_not_depend_on_order(conjuncts: list[str], shuffle: Any) -> None:
+    other = list(conjuncts)
     shuffle.shuffle(other)
-    one = read("a: " + " & ".join(f"({p})" for p in pieces))
-    two = read("\n".join(f"a: {p}" for p in other))
+    one = read("a: " + " & ".join(f"({c})" for c in conjuncts))
+    two = read("\n".join(f"a: {c}" for c in other))
     assert one[0] == two[0]
     assert bool(one[1]) == bool(two[1])
 
