--- a/arrowrail/duties/assign.py
+++ b/arrowrail/duties/assign.py
@@ -21,24 +21,24 @@
 
 
 def shard_of(duty: str) -> str:
-    """The lease under which a duty runs; it never changes, so that its epochs only grow."""
+    """Return the lease under which a duty runs; it never changes, so that its epochs only grow."""
     return f"shard:{xxhash.xxh3_64_intdigest(duty.encode()) % SHARD_COUNT}"
 
 
 def rank_members(duty: str, members: Iterable[str]) -> list[str]:
-    """The members by descending score for this duty."""
+    """Return the members by descending score for this duty."""
     return sorted(members, key=lambda m: (-score(duty, m), m))
 
 
 def member_capacity(duties: int, members: int, load_factor: float = MAX_LOAD_FACTOR) -> int:
-    """The most duties that one member takes; at least enough for all duties to be placed."""
+    """Return the most duties that one member takes; at least enough for all duties to be placed."""
     return max(1, -(-int(duties * load_factor * 1000) // (members * 1000))) if members else 0
 
 
 def assign(
     duties: Iterable[str], members: Iterable[str], load_factor: float = MAX_LOAD_FACTOR
 ) -> dict[str, str]:
-    """The member of each duty; empty if there are no members.
+    """Return the member of each duty; empty if there are no members.
 
     Duties are placed in the order of their own hash, so that which of them meet a full member does not depend
     on the order of the arguments.
@@ -61,10 +61,10 @@
 
 
 def duties_of(member: str, placements: Mapping[str, str]) -> list[str]:
-    """The duties that a member has been assigned, sorted."""
+    """Return the duties that a member has been assigned, sorted."""
     return sorted(duty for duty, placed_on in placements.items() if placed_on == member)
 
 
 def count_moved(before: Mapping[str, str], after: Mapping[str, str]) -> int:
-    """The number of duties whose member differs from before."""
+    """Return the number of duties whose member differs from before."""
     return sum(1 for duty, member in after.items() if before.get(duty) != member)
--- a/arrowrail/duties/probe_results.py
+++ b/arrowrail/duties/probe_results.py
@@ -49,7 +49,7 @@
         self.stale_count = 0  # results that arrived after a newer one
 
     def record(self, now: int, result: ProbeResult) -> bool:
-        """Record a result; false if it is outdated or there is no room for it."""
+        """Record a result; return false if it is outdated or there is no room for it."""
         latest = self._latest.get(result.duty)
         if latest is not None and (result.epoch, result.run_number) <= (latest.epoch, latest.run_number):
             self.stale_count += 1
@@ -66,7 +66,7 @@
         return True
 
     def verdict(self, now: int, duty: str) -> str:
-        """UNKNOWN, ANSWERS or SILENT."""
+        """Return UNKNOWN, ANSWERS or SILENT."""
         latest = self._latest.get(duty)
         if latest is None or now - latest.probed_at > self.max_age_ns:
             return UNKNOWN
@@ -75,6 +75,6 @@
         return SILENT if latest.consecutive_failures >= FAILURE_THRESHOLD else UNKNOWN
 
     def verdicts(self, now: int) -> Iterator[tuple[str, str, int, int, int]]:
-        """For diagnostics: duty, verdict, epoch, run number and age."""
+        """Yield duty, verdict, epoch, run number and age of each latest result, for diagnostics."""
         for duty, latest in sorted(self._latest.items()):
             yield duty, self.verdict(now, duty), latest.epoch, latest.run_number, now - latest.probed_at
--- a/arrowrail/duties/run_schedule.py
+++ b/arrowrail/duties/run_schedule.py
@@ -28,11 +28,11 @@
             self.epoch, self.run_number, self.due_at = epoch, 0, now + self.period_ns
 
     def clear_epoch(self) -> None:
-        """The lease is no longer held: nothing is due."""
+        """Stop the schedule, as the lease is no longer held: nothing is due."""
         self.epoch = 0
 
     def start_next_run(self, now: int) -> int:
-        """The number of the run that begins now; 0 if none is due."""
+        """Return the number of the run that begins now; 0 if none is due."""
         if not self.epoch or now < self.due_at:
             return 0
         self.run_number += 1
--- a/arrowrail/group/instance.py
+++ b/arrowrail/group/instance.py
@@ -83,7 +83,7 @@
         self._needs_assignment = True
 
     def held_epoch(self, duty: str, now: int) -> int:
-        """The epoch under which the duty may run now; 0 if its lease is not held."""
+        """Return the epoch under which the duty may run now; 0 if its lease is not held."""
         return self.lease_manager.held_epoch(self.shards.get(duty, ""), now)
 
     # --- Time and messages ------------------------------------------------------------------------------
@@ -155,7 +155,7 @@
     # --- Runs -------------------------------------------------------------------------------------------
 
     def is_current(self, now: int, run: DutyRun) -> bool:
-        """Whether the lease still allows the run; to be checked again right before anything is sent."""
+        """Return whether the lease still allows the run; to be called again right before anything is sent."""
         return self.held_epoch(run.duty, now) == run.epoch
 
     def run_finished(self, now: int, run: DutyRun, passed: bool, latency_ns: int) -> Effects:
--- a/arrowrail/group/runtime.py
+++ b/arrowrail/group/runtime.py
@@ -30,7 +30,7 @@
 
 
 def load_promises(path: Path) -> dict[str, Promise] | None:
-    """The stored promises; ``None`` if there are none or they cannot be read."""
+    """Return the stored promises; ``None`` if there are none or they cannot be read."""
     try:
         raw = msgspec.msgpack.decode(path.read_bytes())
         return {
@@ -89,7 +89,7 @@
         self.loop.timers.schedule(self.loop.now + TICK_NS, self._tick)
 
     def run_background(self, busy: bool) -> None:
-        """To be called once per event loop iteration, after the calls have been handled."""
+        """Run background work; called once per event loop iteration, after the calls have been handled."""
         if self.scheduler.jobs:
             self.scheduler.run_iteration(self.loop.now, time.monotonic_ns, busy)
             due_at = self.scheduler.next_due_at(self.loop.now)
@@ -151,7 +151,7 @@
     # --- Runs -------------------------------------------------------------------------------------------
 
     def _probe_slices(self, run: DutyRun) -> SliceGenerator:
-        """One probe; not sent if the lease has expired by the latest reading of the loop's clock."""
+        """Run one probe; none is sent if the lease has expired by the latest reading of the loop's clock."""
         yield
         started_at = self.loop.now
         if not self.instance.is_current(started_at, run):
@@ -164,7 +164,7 @@
             self.probes_started += 1
 
     def report(self) -> dict[str, object]:
-        """The report served on the control socket."""
+        """Return the report served on the control socket."""
         now, instance = self.loop.now, self.instance
         return {
             "group": self.config.group, "name": self.config.name, "dropped": self.dropped,
--- a/arrowrail/lab/modelcheck.py
+++ b/arrowrail/lab/modelcheck.py
@@ -46,7 +46,7 @@
 
     no_margin: bool = False  # a holder relies on the whole duration of a promise
     no_quorum: bool = False  # one vote is enough
-    no_memory: bool = False  # promises are lost in a crash, and the restarted voter grants at once
+    no_persistence: bool = False  # promises are lost in a crash, and the restarted voter grants at once
 
 
 ALL_SAFEGUARDS = DisabledSafeguards()
@@ -329,9 +329,9 @@
         return self._with_claim(state, receiver, duty_index, replace(claim, not_before=0))
 
     def _restart(self, state: State, instance: int) -> State:
-        """Leases held are lost; promises are read back, or lost if that safeguard is disabled."""
+        """Restart an instance without its leases; promises are read back, or lost without that safeguard."""
         restored: tuple[Promise, ...]
-        if self.disabled.no_memory:
+        if self.disabled.no_persistence:
             restored = (NO_PROMISE,) * len(self.duties)
         else:
             restored = tuple(restore_promise(promise, BASE_TIME) for promise in state.promises[instance])
--- a/arrowrail/lab/simgroup.py
+++ b/arrowrail/lab/simgroup.py
@@ -33,7 +33,7 @@
         self.shards = {shard_of(duty) for duty in self.duties}
         self.stored_promises: dict[str, dict[str, Promise]] = {}
         self.instances: dict[str, Instance] = {}
-        self.death_heard_at: dict[str, int] = {}  # by instance: when it first listed a member as dead
+        self.death_detected_at: dict[str, int] = {}  # by instance: when it first listed a member as dead
         self.suspicions = 0
         for name in self.names:
             self.start(name)
@@ -57,7 +57,7 @@
         for change in instance.swim.changes:
             self.suspicions += change.state == SUSPECT
             if change.state == DEAD:
-                self.death_heard_at.setdefault(name, self.network.now)
+                self.death_detected_at.setdefault(name, self.network.now)
         self.apply_effects(name, instance.tick(self.network.clock(name)))
         self.network.schedule(self.network.now + TICK_NS, lambda: self.tick(name, instance))
 
@@ -88,7 +88,7 @@
 
 
 def measure_group(size: int, duties: int, seconds: float, seed: int = 1) -> dict[str, Any]:
-    """A steady group, then the failure of one instance: message rates, detection and takeover times."""
+    """Measure a steady group, then one instance's failure: message rates, detection and takeover times."""
     group = SimGroup(size, duties, seed, 10 * S)
     group.run(20 + size / 10)
     group.network.messages_sent.clear()
@@ -101,14 +101,14 @@
     size_bytes = [n / elapsed_s for n in group.network.bytes_sent.values()]
     voters = [group.network.messages_sent.get(n, 0) / elapsed_s for n in group.names[:VOTERS]]
     false_suspicions, held_leases = group.suspicions, group.held_leases()
-    group.death_heard_at.clear()
+    group.death_detected_at.clear()
     victim, died_at = group.names[-1], group.network.now
     group.crash(victim)
     while group.network.now - died_at < 60 * S and (
-        not group.death_heard_at or group.held_leases() < len(group.shards)
+        not group.death_detected_at or group.held_leases() < len(group.shards)
     ):
         group.run(0.5)
-    detection_s = sorted((t - died_at) / S for t in group.death_heard_at.values())
+    detection_s = sorted((t - died_at) / S for t in group.death_detected_at.values())
     return {
         "instances": size, "duties": duties, "leases held": held_leases,
         "messages an instance a s, mean": round(statistics.mean(messages), 1),
@@ -123,7 +123,7 @@
 
 
 def measure_reassignment(size: int, duties: int = 10_000) -> dict[str, Any]:
-    """How many duties one failure moves, compared with the failed instance's own."""
+    """Count the duties that one failure moves, compared with the failed instance's own."""
     names = [f"i{n}" for n in range(size)]
     duty_names = [f"probe:{n}" for n in range(duties)]
     before = assign(duty_names, names)
--- a/arrowrail/lab/simnet.py
+++ b/arrowrail/lab/simnet.py
@@ -29,7 +29,7 @@
         return self.offset + true_time * (MILLION + self.drift_ppm) // MILLION
 
     def true_until(self, true_time: int, local_time: int) -> int:
-        """The earliest true time at which this clock reads at least ``local_time``."""
+        """Return the earliest true time at which this clock reads at least ``local_time``."""
         left = max(0, local_time - self.read(true_time))
         return true_time + left * MILLION // (MILLION + self.drift_ppm) + 1
 
--- a/arrowrail/leases/claim.py
+++ b/arrowrail/leases/claim.py
@@ -33,7 +33,7 @@
 
 
 def is_held(claim: Claim, now: int) -> bool:
-    """Whether the lease is held; the only condition under which the duty may run."""
+    """Return whether the lease is held; the only condition under which the duty may run."""
     return claim.phase == HOLDING and now < claim.expires_at
 
 
@@ -86,7 +86,7 @@
 
 
 def quorum_unreachable(claim: Claim, config: LeaseConfig) -> bool:
-    """Whether too many voters refused the current round for it to reach a quorum."""
+    """Return whether too many voters refused the current round for it to reach a quorum."""
     return not config.is_quorum(config.all_voters() - claim.refused_by)
 
 
--- a/arrowrail/leases/config.py
+++ b/arrowrail/leases/config.py
@@ -46,7 +46,7 @@
         return self.holder_duration_ns // 4
 
     def is_quorum(self, granted: Set[str]) -> bool:
-        """Whether these voters are a majority of the voters, and of the next voters during a change.
+        """Return whether these are a majority of the voters, and of the next voters during a change.
 
         Any two quorums share a voter: within one set of voters trivially; across a step of a membership
         change because both contain a majority of the set that the two steps have in common.
--- a/arrowrail/leases/manager.py
+++ b/arrowrail/leases/manager.py
@@ -88,7 +88,7 @@
         return outbox
 
     def held_epoch(self, duty: str, now: int) -> int:
-        """The epoch under which the duty may run now; 0 if the lease is not held."""
+        """Return the epoch under which the duty may run now; 0 if the lease is not held."""
         claim = self.claims.get(duty)
         return claim.epoch if claim is not None and claim_ops.is_held(claim, now) else 0
 
--- a/arrowrail/leases/promise.py
+++ b/arrowrail/leases/promise.py
@@ -55,7 +55,7 @@
 def answer_request(
     promise: Promise, now: int, request: AcquireRequest, config: LeaseConfig, no_grants_until: int = 0
 ) -> tuple[Promise, Reply]:
-    """The promise after the request, and the reply; the promise has to be stored before the reply is sent.
+    """Return the new promise and the reply; the promise has to be stored before the reply is sent.
 
     ``no_grants_until`` is set after a start without stored promises: nothing is granted before every promise
     that may have been given has expired.
--- a/arrowrail/membership/replay.py
+++ b/arrowrail/membership/replay.py
@@ -25,7 +25,7 @@
         self._senders: dict[str, SenderWindow] = {}
 
     def check(self, sender_name: str, boot: int, sequence: int) -> str:
-        """FRESH if the message is to be accepted; otherwise the reason to drop it."""
+        """Return FRESH if the message is to be accepted; otherwise the reason to drop it."""
         window = self._senders.get(sender_name)
         if window is None or boot > window.boot:
             if window is None and len(self._senders) >= MAX_SENDERS:
--- a/arrowrail/membership/swim.py
+++ b/arrowrail/membership/swim.py
@@ -160,7 +160,7 @@
     # --- Membership list --------------------------------------------------------------------------------
 
     def live_members(self) -> list[str]:
-        """Live members including this instance; suspects still count as live."""
+        """Return the live members including this instance; suspects still count as live."""
         others = [n for n, m in self.members.items() if m.state in (ALIVE, SUSPECT)]
         return sorted([*others, self.name]) if not self.left else sorted(others)
 
@@ -168,7 +168,7 @@
         return Rumour(self.name, self.address, self.incarnation, LEFT if self.left else ALIVE)
 
     def member_states(self, now: int) -> Iterator[tuple[str, str, str, int, int]]:
-        """For diagnostics: name, address, state, incarnation and age of the state in ns."""
+        """Yield name, address, state, incarnation and state age in ns of each member, for diagnostics."""
         yield self.name, self.address, "self", self.incarnation, 0
         for name, m in sorted(self.members.items()):
             yield name, m.rumour.address, STATES[m.state], m.rumour.incarnation, now - m.state_since
@@ -176,7 +176,7 @@
     def _live_count(self) -> int:
         return 1 + sum(1 for m in self.members.values() if m.state in (ALIVE, SUSPECT))
 
-    def _log_size(self) -> float:
+    def _log_group_size(self) -> float:
         return max(1.0, math.log10(self._live_count() + 1))
 
     # --- Rumours ----------------------------------------------------------------------------------------
@@ -213,7 +213,7 @@
             self.changes.append(MemberChange(rumour.name, rumour.state, rumour.incarnation))
 
     def _confirm_suspicion(self, now: int, member: Member, source: str) -> None:
-        """Another independent suspicion: each one shortens the time left for a refutation."""
+        """Record another independent suspicion: each one shortens the time left for a refutation."""
         member.suspected_by.add(source)
         member.declare_dead_at = min(
             member.declare_dead_at,
@@ -224,7 +224,7 @@
     def _suspicion_ns(self, confirmations: int) -> int:
         longest_ns = (
             self.settings.suspicion_multiplier
-            * self._log_size()
+            * self._log_group_size()
             * self.settings.period_ns
             * (1 + self.health_score)
         )
@@ -246,8 +246,8 @@
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
 
     def _select_rumours(self, receiver: str = "") -> tuple[Rumour, ...]:
-        """The rumours sent least often so far; one about the receiver goes first."""
-        max_transmits = math.ceil(self.settings.retransmit_multiplier * self._log_size())
+        """Select the rumours sent least often so far; one about the receiver goes first."""
+        max_transmits = math.ceil(self.settings.retransmit_multiplier * self._log_group_size())
         chosen = sorted(self._transmit_counts, key=lambda n: (n != receiver, self._transmit_counts[n], n))[
             : self.settings.max_rumours
         ]
@@ -265,7 +265,7 @@
     # --- Time -------------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> Outgoing:
-        """To be called several times per period; returns the messages to send."""
+        """Return the messages to send; has to be called several times per period."""
         if self.left:
             return []
         gap_ns = now - self._last_tick
@@ -288,7 +288,10 @@
         return outgoing
 
     def _handle_pause(self, gap_ns: int) -> None:
-        """This instance was paused: missing answers from that time say nothing about other members."""
+        """Discard the probe and extend all suspicions by the length of this instance's pause.
+
+        Missing answers from that time say nothing about other members.
+        """
         self._worsen_health()
         self._probe = None
         for member in self.members.values():
@@ -311,7 +314,7 @@
         )
 
     def _probe_indirectly(self, now: int, outgoing: Outgoing) -> None:
-        """The direct probe was not answered: ask other members to probe the target."""
+        """Ask other members to probe the target if it did not answer the direct probe in time."""
         probe = self._probe
         if (
             probe is None
@@ -398,7 +401,7 @@
         for rumour in message.rumours:
             self._apply_rumour(now, rumour, message.sender)
         if isinstance(message, Ping):
-            self._note_sender(now, message.sender, message.sender_address)
+            self._record_sender(now, message.sender, message.sender_address)
             return [
                 (
                     message.sender_address,
@@ -414,7 +417,7 @@
             return [(message.target_address, ping)]
         if isinstance(message, Ack):
             return self._handle_ack(message)
-        self._note_sender(now, message.sender, message.sender_address)
+        self._record_sender(now, message.sender, message.sender_address)
         if message.reply_wanted:
             return [(message.sender_address, part) for part in self._sync_messages(False)]
         return []
@@ -429,8 +432,11 @@
             probe.acked = True
         return []
 
-    def _note_sender(self, now: int, name: str, address: str) -> None:
-        """A sender is alive; one listed as suspect or dead is sent that rumour, so that it can refute it."""
+    def _record_sender(self, now: int, name: str, address: str) -> None:
+        """Add an unknown sender as alive; queue the rumour about one listed as suspect or dead.
+
+        The sender receives that rumour with a later message, so that it can refute it.
+        """
         known = self.members.get(name)
         if known is None and name != self.name:
             self._apply_rumour(now, Rumour(name, address, 0, ALIVE), name)
--- a/arrowrail/scheduling/scheduler.py
+++ b/arrowrail/scheduling/scheduler.py
@@ -116,7 +116,7 @@
         self.jobs[spec.name] = Job(spec, now + first_delay, planned_at=now + first_delay)
 
     def submit(self, spec: JobSpec, now: int) -> bool:
-        """Submit work to be run once; false if a job of this name is waiting or running."""
+        """Submit work to be run once; return false if a job of this name is waiting or running."""
         if spec.name in self.jobs:
             return False
         self.jobs[spec.name] = Job(spec, now, planned_at=now)
@@ -130,7 +130,7 @@
         return job is not None
 
     def next_due_at(self, now: int) -> int | None:
-        """The next time at which a job may run; ``None`` if there are no jobs."""
+        """Return the next time at which a job may run; ``None`` if there are no jobs."""
         times = [
             max(job.not_before if job.generator is not None else job.due_at, now)
             for job in self.jobs.values()
@@ -145,7 +145,7 @@
     # --- One event loop iteration -----------------------------------------------------------------------
 
     def run_iteration(self, now: int, clock: Callable[[], int], busy: bool) -> int:
-        """Run due jobs within the budget of the iteration; returns the processor time used.
+        """Run due jobs within the budget of the iteration; return the processor time used.
 
         ``clock`` is read after each slice only; ``busy``: the iteration also handled calls, which go first.
         """
@@ -165,7 +165,7 @@
         return used_ns
 
     def _pick_job(self, now: int, busy: bool) -> Job | None:
-        """The most urgent job that is ready; among equals, the one that has waited longest."""
+        """Return the most urgent job that is ready; among equals, the one that has waited longest."""
         best: Job | None = None
         for job in self.jobs.values():
             if busy and job.spec.priority == IDLE:
@@ -180,7 +180,7 @@
         return job.spec.priority, max(job.due_at, job.not_before), job.queue_position, job.spec.name
 
     def _run_slice(self, job: Job, now: int) -> str:
-        """Run one slice of a job; returns the outcome if the run has ended, else an empty string."""
+        """Run one slice of a job; return the outcome if the run has ended, else an empty string."""
         if job.generator is None:
             job.generator, job.started_at = job.spec.create(), now
             job.used_ns = job.slices = job.long_slices = 0
@@ -240,7 +240,7 @@
         return self.random.randrange(max_jitter_ns) if max_jitter_ns > 0 else 0
 
     def job_states(self, now: int) -> Iterator[tuple[str, str, int]]:
-        """For diagnostics: name, state, and time until the next run in ns."""
+        """Yield name, state, and time until the next run in ns of each job, for diagnostics."""
         for name, job in sorted(self.jobs.items()):
             state = "running" if job.generator is not None else "waiting"
             yield name, f"{PRIORITY_NAMES[job.spec.priority]}, {state}", max(0, job.due_at - now)
--- a/arrowrail/wire/group/messages.py
+++ b/arrowrail/wire/group/messages.py
@@ -48,14 +48,18 @@
 def encode(
     keys: Mapping[int, bytes], key: int, header: tuple[str, str, str, int, int], message: Message
 ) -> bytes:
-    """``header``: group, sender, receiver ('' if only its address is known), start time, sequence number."""
+    """Encode a message.
+
+    ``header``: group, sender, receiver ('' if only its address is known), start time of the sender's run,
+    sequence number.
+    """
     payload = msgspec.msgpack.encode((header, MESSAGE_TYPES.index(type(message)), _to_fields(message)))
     prefix = bytes((VERSION, key))
     return prefix + hmac.digest(keys[key], prefix + payload, "sha256")[:MAC_BYTES] + payload
 
 
 def _to_fields(message: Any) -> list[Any]:
-    """The fields of a message in the order of their declaration."""
+    """Return the fields of a message in the order of their declaration."""
     if isinstance(message, Batch):
         return [[MESSAGE_TYPES.index(type(item)), _to_fields(item)] for item in message.messages]
     fields = list(type(message).__dataclass_fields__)
@@ -68,7 +72,7 @@
 
 
 def decode(keys: Mapping[int, bytes], data: bytes) -> tuple[Header, Message]:
-    """Raises ``GroupError`` for anything that is not a complete message under one of the keys."""
+    """Decode a datagram; raise ``GroupError`` unless it is a complete message under one of the keys."""
     if len(data) < 2 + MAC_BYTES + 1 or len(data) > MAX_DATAGRAM:
         raise GroupError("size")
     if data[0] != VERSION:
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -51,11 +51,11 @@
 
 
 def test_damaged_or_forged_datagrams_are_rejected_with_a_reason() -> None:
-    good = encode(KEYS, 1, HEADER, MESSAGES[0])
+    valid = encode(KEYS, 1, HEADER, MESSAGES[0])
     for data, reason in (
-        (b"", "size"), (good + b"x" * MAX_DATAGRAM, "size"), (b"\x09" + good[1:], "version"),
-        (good[:1] + b"\x07" + good[2:], "key"), (good[:1] + b"\x02" + good[2:], "mac"),
-        (good[:-1] + b"?", "mac"), (encode({1: b"other key......."}, 1, HEADER, MESSAGES[0]), "mac"),
+        (b"", "size"), (valid + b"x" * MAX_DATAGRAM, "size"), (b"\x09" + valid[1:], "version"),
+        (valid[:1] + b"\x07" + valid[2:], "key"), (valid[:1] + b"\x02" + valid[2:], "mac"),
+        (valid[:-1] + b"?", "mac"), (encode({1: b"other key......."}, 1, HEADER, MESSAGES[0]), "mac"),
     ):  # fmt: skip
         with pytest.raises(GroupError, match=reason):
             decode(KEYS, data)
@@ -72,8 +72,8 @@
     ]
     packed = list(pack_batches(requests))
     assert [m for n, m in packed if n == "c"] == [requests[-1][1]]
-    found = [one for n, m in packed if n == "b" for one in (m.messages if isinstance(m, Batch) else (m,))]
-    assert found == [m for n, m in requests if n == "b"] and len(packed) < 12
+    unpacked = [one for n, m in packed if n == "b" for one in (m.messages if isinstance(m, Batch) else (m,))]
+    assert unpacked == [m for n, m in requests if n == "b"] and len(packed) < 12
     assert (
         all(len(encode(KEYS, 1, HEADER, m)) <= MAX_DATAGRAM for _, m in packed)
         and MAX_BATCH_BYTES < MAX_DATAGRAM
@@ -87,13 +87,13 @@
 ) -> None:
     import hmac
 
-    whole = encode(KEYS, 1, HEADER, message)
-    payload = whole[18:]
+    datagram = encode(KEYS, 1, HEADER, message)
+    payload = datagram[18:]
     payload = payload[: at % len(payload)] + noise + payload[at % len(payload) + len(noise) :]
-    start = whole[:2]
-    mac = hmac.digest(KEYS[1], start + payload, "sha256")[:16] if signed else whole[2:18]
+    prefix = datagram[:2]
+    mac = hmac.digest(KEYS[1], prefix + payload, "sha256")[:16] if signed else datagram[2:18]
     with contextlib.suppress(GroupError):
-        decode(KEYS, start + mac + payload)
+        decode(KEYS, prefix + mac + payload)
 
 
 def test_sequence_numbers_are_accepted_once_in_any_order_within_the_window() -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -29,8 +29,8 @@
 T0 = 100 * S
 
 
-def acquire_request(holder: str, epoch: int, round_: int = 1, length: int = 3 * S) -> AcquireRequest:
-    return AcquireRequest("d", holder, epoch, round_, length)
+def acquire_request(holder: str, epoch: int, round_: int = 1, duration_ns: int = 3 * S) -> AcquireRequest:
+    return AcquireRequest("d", holder, epoch, round_, duration_ns)
 
 
 # --- The voter's side -----------------------------------------------------------------------------------
@@ -126,25 +126,26 @@
         ).phase
         == claim_ops.ASKING
     )
-    again, _ = claim_ops.start_acquire(claim_ops.advance_time(claim, late, CONFIG, 0), late, CONFIG)
+    second_round, _ = claim_ops.start_acquire(claim_ops.advance_time(claim, late, CONFIG, 0), late, CONFIG)
     assert (
-        again.epoch == 2 and claim_ops.apply_reply(again, "a", reply, late, CONFIG).granted_by == frozenset()
+        second_round.epoch == 2
+        and claim_ops.apply_reply(second_round, "a", reply, late, CONFIG).granted_by == frozenset()
     )
 
 
 def test_a_holder_renews_in_time_and_repeats_a_lost_renewal() -> None:
     claim = held_claim()
     assert not claim_ops.needs_renewal(claim, T0, CONFIG)
-    at = T0 + CONFIG.renew_after_ns
-    assert claim_ops.needs_renewal(claim, at, CONFIG)
-    claim, request = claim_ops.start_renewal(claim, at, CONFIG)
+    renewal_due = T0 + CONFIG.renew_after_ns
+    assert claim_ops.needs_renewal(claim, renewal_due, CONFIG)
+    claim, request = claim_ops.start_renewal(claim, renewal_due, CONFIG)
     assert (
         request.epoch == claim.epoch
-        and not claim_ops.needs_renewal(claim, at, CONFIG)
-        and claim_ops.is_held(claim, at)
+        and not claim_ops.needs_renewal(claim, renewal_due, CONFIG)
+        and claim_ops.is_held(claim, renewal_due)
     )
-    claim = claim_ops.advance_time(claim, at + CONFIG.reply_timeout_ns, CONFIG, 0)
-    assert claim_ops.needs_renewal(claim, at + CONFIG.reply_timeout_ns, CONFIG)
+    claim = claim_ops.advance_time(claim, renewal_due + CONFIG.reply_timeout_ns, CONFIG, 0)
+    assert claim_ops.needs_renewal(claim, renewal_due + CONFIG.reply_timeout_ns, CONFIG)
     assert (
         claim_ops.advance_time(claim, claim.expires_at, CONFIG, 5 * MS).not_before
         == claim.expires_at + 5 * MS
@@ -196,7 +197,7 @@
     [
         (DisabledSafeguards(no_margin=True), Bounds(depth=11, crashes=0), "hold d0"),
         (DisabledSafeguards(no_quorum=True), Bounds(depth=7), "hold d0"),
-        (DisabledSafeguards(no_memory=True), Bounds(depth=7), "hold d0"),
+        (DisabledSafeguards(no_persistence=True), Bounds(depth=7), "hold d0"),
     ],
 )  # fmt: skip
 def test_the_check_finds_the_violation_that_each_safeguard_prevents(
@@ -250,8 +251,8 @@
 
     def apply_effects(self, name: str, effects: Outbox) -> None:
         self.stored_promises[name] |= effects.promises  # stored before anything is sent
-        for to, message in effects.messages:
-            self.network.send(name, to, message)
+        for receiver, message in effects.messages:
+            self.network.send(name, receiver, message)
 
     def crash(self, name: str) -> None:
         del self.managers[name]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,6 +13,8 @@
 
 
 class SimulatedGroup:
+    """Instances of the membership protocol on a simulated network."""
+
     def __init__(self, size: int, seed: int = 1) -> None:
         self.network = SimNetwork(seed)
         self.swims: dict[str, Swim] = {}
@@ -44,8 +46,8 @@
         self.send(name, self.swims[name].receive(self.network.clock(name), message))  # type: ignore[arg-type]
 
     def send(self, name: str, outgoing: object) -> None:
-        for to, message in outgoing:  # type: ignore[attr-defined]
-            self.network.send(name, to, message)
+        for address, message in outgoing:  # type: ignore[attr-defined]
+            self.network.send(name, address, message)
 
     def crash(self, name: str) -> None:
         del self.swims[name]
