--- a/arrowrail/cli/bench.py
+++ b/arrowrail/cli/bench.py
@@ -9,7 +9,8 @@
 
 def bench(
     before: Annotated[
-        str, typer.Option(help="a commit to compare the memory use of a controller without records with")
+        str,
+        typer.Option(help="compare the memory use of a controller without records with that at this commit"),
     ] = "",
     as_json: Annotated[bool, typer.Option("--json", help="print JSON")] = False,
 ) -> None:
--- a/arrowrail/cli/config.py
+++ b/arrowrail/cli/config.py
@@ -60,7 +60,7 @@
     class_names: Annotated[
         list[str] | None, typer.Option("--class", help="a call class; may be repeated")
     ] = None,
-    max_open: Annotated[int | None, typer.Option("--open", help="open set-ups at a time at most")] = None,
+    max_open: Annotated[int | None, typer.Option("--open", help="maximum number of open set-ups")] = None,
     rate: Annotated[str | None, typer.Option(help="set-ups per second, for example 50/s")] = None,
     give_up: Annotated[
         str | None, typer.Option(help="how long callers wait for an answer, for example 3s")
@@ -115,7 +115,7 @@
     folder: Annotated[Path, typer.Option(help="the folder of records")] = Path("deploy/sidecar"),
     as_json: JsonFlag = False,
 ) -> None:
-    """Print the effective values after defaults and unification, each with its origin."""
+    """Print the effective values after defaults and unification, each with its source."""
     import orjson
 
     from arrowrail.config.checker import check_folder
--- a/arrowrail/cli/group.py
+++ b/arrowrail/cli/group.py
@@ -13,7 +13,7 @@
 
 
 def fetch_report(path: Path) -> dict[str, Any]:
-    """The instance's report; exits with 1 and prints the reason if there is none."""
+    """Return the instance's report; print the reason and exit with 1 if there is none."""
     import socket
 
     import orjson
--- a/arrowrail/run/config.py
+++ b/arrowrail/run/config.py
@@ -30,7 +30,7 @@
 
 
 def load(path: str, listen_address: str = "") -> Config:
-    """Read the JSON file; ``ValueError`` names the missing or invalid field."""
+    """Read the JSON file; raise ``ValueError``, which names the missing or invalid field."""
     raw: dict[str, Any] = orjson.loads(Path(path).read_bytes())
     try:
         known, limits = raw.get("known") or {}, raw["settings"].get("policy-limits", {})
--- a/arrowrail/run/main.py
+++ b/arrowrail/run/main.py
@@ -99,7 +99,7 @@
         self.core.process_events()
 
     def is_finished(self) -> bool:
-        """Whether the shutdown is complete, with all responses written."""
+        """Return whether the shutdown is complete, with all responses written."""
         now, plan = self.loop.now, self.core.shutdown_plan
         if plan is None:
             return False
@@ -168,12 +168,12 @@
             return 1
         configure_logging(operator_config.log.level, operator_config.log.form)
     controller = CallController(config, operator_config)
-    rejected = "reload: the configuration is invalid; the previous one stays in force"
+    rejection_message = "reload: the configuration is invalid; the previous one stays in force"
 
     def on_reload() -> None:
         config = read_platform_config()
         if config is None:
-            logger.error(rejected)
+            logger.error(rejection_message)
         elif path is None:
             controller.reload(config)
         else:
@@ -182,7 +182,7 @@
     def on_read(result: ReadResult) -> None:
         operator_config, config = _log_faults(result), read_platform_config()
         if operator_config is None or config is None:
-            logger.error(rejected)
+            logger.error(rejection_message)
         else:
             controller.reload(config, operator_config)
 
--- a/arrowrail/run/optional_components.py
+++ b/arrowrail/run/optional_components.py
@@ -68,7 +68,7 @@
 
 
 def _restart_settings(operator_config: Controller) -> tuple[object, ...]:
-    """The settings that take effect only at a restart."""
+    """Return the settings that take effect only at a restart."""
     m3ua = operator_config.m3ua
     return (
         m3ua.enabled, m3ua.listen, m3ua.point_code, m3ua.routing_context, m3ua.network_appearance,
