--- a/arrowrail/config/convert.py
+++ b/arrowrail/config/convert.py
@@ -27,7 +27,7 @@
         raise ConvertError(*(str(fault) for fault in faults))
     path = folder / (file.stem + SUFFIX)
     if path.exists() and not force:
-        raise ConvertError(f"{path} is there already; --force overwrites it")
+        raise ConvertError(f"{path} already exists; --force overwrites it")
     text = render(operator, file.name)
     folder.mkdir(parents=True, exist_ok=True)
     try:
--- a/arrowrail/group/config.py
+++ b/arrowrail/group/config.py
@@ -26,7 +26,7 @@
     promise_dir: str  # directory of stored promises; empty: none, and each start waits for one lease duration
     control_path: str  # path of the control socket; empty: none
     probe_period_ns: int  # for each exchange; 0: exchanges are not probed
-    probe_time_out_ns: int
+    probe_timeout_ns: int
 
     def lease_config(self) -> LeaseConfig:
         return LeaseConfig(self.lease_ns, self.drift_ppm, frozenset(self.members), frozenset(self.joining))
--- a/arrowrail/group/instance.py
+++ b/arrowrail/group/instance.py
@@ -89,6 +89,7 @@
     # --- Time and messages ------------------------------------------------------------------------------
 
     def tick(self, now: int) -> Effects:
+        """Advance membership, leases and schedules; return what has to be stored, sent and run."""
         effects = Effects()
         effects.messages += [(address, "", message) for address, message in self.swim.tick(now)]
         self._assign(now, effects)
@@ -105,6 +106,7 @@
         return effects
 
     def receive(self, now: int, sender: str, message: Message) -> Effects:
+        """Process a message; one in the name of another member than its sender is ignored."""
         effects = Effects()
         if isinstance(message, ProbeResult):
             if message.holder == sender:
--- a/arrowrail/lab/modelcheck.py
+++ b/arrowrail/lab/modelcheck.py
@@ -135,7 +135,7 @@
         self.config: LeaseConfig = config_class(PROMISE_DURATION, DRIFT_PPM, frozenset(INSTANCES))
         self.duties = tuple(f"d{n}" for n in range(bounds.duties))
 
-    def start(self) -> State:
+    def initial_state(self) -> State:
         count = len(INSTANCES)
         return State(
             ((NO_PROMISE,) * len(self.duties),) * count,
@@ -145,7 +145,7 @@
     # --- The search -------------------------------------------------------------------------------------
 
     def run(self) -> CheckResult:
-        start_state = self.start()
+        start_state = self.initial_state()
         predecessors: dict[State, tuple[State, str] | None] = {start_state: None}
         queue = deque([(start_state, 0)])
         complete = True
@@ -347,6 +347,7 @@
         )
 
 
+# Clock rates by instance: all nominal, and two combinations with the extremes of the drift bound.
 RATES = ((NOMINAL, NOMINAL, NOMINAL), (SLOW, FAST, FAST), (FAST, SLOW, NOMINAL))
 
 
--- a/arrowrail/lab/simnet.py
+++ b/arrowrail/lab/simnet.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class NetworkFaults:
-    """Faults in force."""
+    """Loss, duplication, delays and partitions in force on the network."""
 
     loss_rate: float = 0.0
     duplicate_rate: float = 0.0
@@ -108,6 +108,7 @@
         receive(sender, message)
 
     def run(self, until: int, after_each: Callable[[], None] | None = None) -> None:
+        """Run all events up to a true time; ``after_each`` is called after each of them."""
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
             action()
--- a/arrowrail/leases/manager.py
+++ b/arrowrail/leases/manager.py
@@ -98,6 +98,7 @@
     # --- Time and messages ------------------------------------------------------------------------------
 
     def tick(self, now: int) -> Outbox:
+        """End expired leases and failed rounds; start the rounds and renewals that are due."""
         outbox = Outbox()
         # Renewals are grouped to share datagrams: with one due, those half way to their renewal go along.
         early_ns = self.config.holder_duration_ns - self.config.renew_after_ns // 2
@@ -132,6 +133,7 @@
         return outbox
 
     def receive(self, now: int, sender: str, message: Message) -> Outbox:
+        """Process a message; requests and releases in the name of another than the sender are ignored."""
         outbox = Outbox()
         if isinstance(message, AcquireRequest):
             if message.holder == sender:
--- a/arrowrail/sidecar/config.py
+++ b/arrowrail/sidecar/config.py
@@ -90,7 +90,7 @@
 ) -> SidecarConfig:
     """Build the configuration; ``numbers`` are the exchange numbers that a running sidecar already uses."""
     if inventory.site is None:
-        raise ValueError("no site")
+        raise ValueError("the inventory has no site")
     exchange_names = {
         name
         for app_class in application.calls.values()
--- a/arrowrail/sidecar/main.py
+++ b/arrowrail/sidecar/main.py
@@ -121,7 +121,7 @@
             return False
         fencing_token = f"{run.duty} {run.epoch} {run.number} {group.name}"
         backend: Any = self.core.backends["binary"]
-        if not backend.probe(endpoint, fencing_token, group.probe_time_out_ns, on_result):
+        if not backend.probe(endpoint, fencing_token, group.probe_timeout_ns, on_result):
             on_result(False)
             return False
         return True
--- a/tests/records/test_tool.py
+++ b/tests/records/test_tool.py
@@ -195,7 +195,7 @@
         "WARNING", True, 2_500_000_000, 3_000_000_000,
     )  # fmt: skip
     assert (m3ua.numbers[0].prefix, m3ua.desks[0].point_code, found.etcd.prefix) == ("099", 21, "/x/")
-    with pytest.raises(ConvertError, match="is there already"):
+    with pytest.raises(ConvertError, match="already exists"):
         convert(old, tmp_path)
     old.write_text("application = 3\n")
     with pytest.raises(ConvertError, match="application"):
