--- a/arrowrail/membership/swim.py
+++ b/arrowrail/membership/swim.py
@@ -104,7 +104,7 @@
     """A known member and the latest rumour about it."""
 
     rumour: Rumour
-    state_since: int  # when the present state was first heard of
+    state_since: int  # when this instance learned of the present state
     suspected_by: set[str] = field(default_factory=set)
     declare_dead_at: int = 0  # for a suspect: when it is declared dead
 
--- a/arrowrail/sidecar/main.py
+++ b/arrowrail/sidecar/main.py
@@ -200,7 +200,7 @@
             self.core.update_endpoints(SIDECAR_SOURCE, False, drained)
 
     def _release_orphans(self) -> None:
-        """Release the calls of an application that is gone: they would occupy their circuits for good."""
+        """Release the calls of a disconnected application: they would occupy circuits indefinitely."""
         now = self.controller.loop.now
         for frontend in self.core.frontends:
             if frontend.connections:
@@ -211,7 +211,7 @@
                 continue
             released = self.core.release_all(frontend, Q850_TEMPORARY_FAILURE)
             if released:
-                event("orphans.released", "released {calls} calls of an application that is gone",
+                event("orphans.released", "released {calls} calls of a disconnected application",
                       level="WARNING", calls=released)  # fmt: skip
 
 
