--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -165,7 +165,7 @@
         loop.run_once()
     assert outcomes == [True] * 5 and load_promises(path) == {"d": Promise(4, "a", 0, 7)}
     writer.close()
-    path.write_bytes(b"corrupt")
+    path.write_bytes(b"spoilt")
     assert load_promises(path) is None and load_promises(tmp_path / "none") is None
 
 
