--- a/arrowrail/config/rules.py
+++ b/arrowrail/config/rules.py
@@ -520,7 +520,10 @@
 
 
 def check_listener_ports(applications: Iterable[Application], diagnostics: Diagnostics) -> None:
-    """Report listeners on one port of the same address, in any spelling, or of a wildcard address."""
+    """Report listeners of different applications that would bind the same address and port.
+
+    Different spellings of an address are the same address; a wildcard overlaps with every address.
+    """
     by_port: dict[int, list[tuple[str, Application, str, Location]]] = {}
     for application in applications:
         for name, address in (("sip", application.listen.sip), ("m3ua", application.listen.m3ua)):
--- a/arrowrail/config/writer.py
+++ b/arrowrail/config/writer.py
@@ -130,7 +130,7 @@
 
 
 def _pool_for(inventory: Inventory, district: str) -> Pool | None:
-    """Return the pool named like the district, or else the one with most of its exchanges in service.
+    """Return the pool named like the district, or else that with most exchanges of it in service.
 
     Only pools that can serve calls, if need be through a fall-back, are considered.
     """
--- a/arrowrail/membership/swim.py
+++ b/arrowrail/membership/swim.py
@@ -435,7 +435,7 @@
     def _record_sender(self, now: int, name: str, address: str) -> None:
         """Add an unknown sender as alive; queue the rumour about one listed as suspect or dead.
 
-        The sender receives that rumour with a later message, so that it can refute it.
+        The sender receives that rumour with the answer or a later message, so that it can refute it.
         """
         known = self.members.get(name)
         if known is None and name != self.name:
