--- a/arrowrail/lab/soak/__init__.py
+++ b/arrowrail/lab/soak/__init__.py
@@ -1,2 +1,2 @@
-"""Short, dense fault trials of the program: planned from a seed, played with real processes, judged by all
-rules."""
+"""Fault trials of the call controller: short runs with many faults, generated from a seed, run with real
+processes and checked against the operators' rules."""
--- a/arrowrail/lab/soak/history.py
+++ b/arrowrail/lab/soak/history.py
@@ -1,8 +1,8 @@
-"""What the parties of a trial wrote, put together: one history a call, one of each server and each
-controller.
+"""The history of a trial: what happened to each call, server and controller.
 
-Built from the ledgers of callers, servers, discovery, the proxy and the player alone; nothing here comes from
-the program's own counters or log.  All times are Unix times in ns.
+Built only from the event logs of the callers, the servers, the proxy and the runner, not from the counters or
+the log of the controller under test.  All times are Unix times in ns; a time of 0 means "never", where
+nothing else is said.
 """
 
 from __future__ import annotations
@@ -16,315 +16,320 @@
 from arrowrail.lab.soak.plan import Plan, controller_names
 
 MS = 1_000_000
-S = 1_000 * MS
-Line = dict[str, Any]
+SECOND_NS = 1_000 * MS
+Event = dict[str, Any]  # one line of an event log
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One set-up as it left the controller, and how it ended for it."""
+    """One attempt: a set-up that the controller sent to a server, and its outcome."""
 
     server: str
     route: str
-    sent: int
+    sent_ns: int
     connection: int
-    ended: int = 0  # 0: it never did
-    how: str = ""  # answer, release (by the server), given_up (by the controller) or broken
+    ended_ns: int = 0
+    outcome: str = ""  # answer, release (by the server), given_up (by the controller) or broken
     cause: int = 0
 
 
 @dataclass(slots=True)
 class Call:
-    """One call, from all sides."""
+    """One call as its caller, the proxy and its server recorded it."""
 
-    call: str
+    call_id: str
     controller: str
-    kind: str
+    class_name: str
     patience_ms: int
     exchange: int
-    sent_ns: int = 0  # 0: it never left its caller
-    line: int = 0
-    answers: list[Line] = field(default_factory=list)
-    given_up: int = 0
-    crossed: bool = False  # it crossed the close of its connection
-    lost: int = 0  # its connection was closed before the answer
-    lost_why: str = ""
-    bye_times: list[int] = field(default_factory=list)
-    hung_up: int = 0
+    sent_ns: int = 0
+    connection: int = 0  # of its caller
+    answers: list[Event] = field(default_factory=list)
+    cancelled_ns: int = 0  # the caller sent CANCEL
+    crossed_close: bool = False  # the set-up and the close of its connection crossed
+    lost_ns: int = 0  # the connection of the caller was closed before the answer
+    lost_reason: str = ""
+    bye_times: list[int] = field(default_factory=list)  # the controller sent BYE
+    hung_up_ns: int = 0  # the caller sent BYE
     attempts: list[Attempt] = field(default_factory=list)
-    stood: str = ""  # the server that its answer names
-    over: int = 0  # when that server ended it
-    handed: list[int] = field(default_factory=list)  # when its controller was handed that release
-    released: int = 0  # when that server was released by the controller
+    answered_by: str = ""  # the server that the answer names
+    server_ended_ns: int = 0  # that server ended the call
+    release_times: list[int] = field(default_factory=list)  # the controller received the server's release
+    released_ns: int = 0  # the server received the controller's release
 
     @property
-    def due(self) -> int:
-        """When its caller stops waiting."""
+    def deadline_ns(self) -> int:
+        """The time until which the caller waits for an answer."""
         return self.sent_ns + self.patience_ms * MS
 
     @property
     def served_ns(self) -> int:
-        """When it was answered 'served'; 0: it was not."""
-        return next((a["t"] for a in self.answers if a["status"] == 200), 0)
+        """The time of the answer 200."""
+        return next((answer["t"] for answer in self.answers if answer["status"] == 200), 0)
 
 
 @dataclass(slots=True)
 class Span:
-    """A time during which something was so; ``until`` 0: to the end."""
+    """A span of time; ``end_ns`` 0: to the end of the trial."""
 
-    since: int
-    until: int = 0
+    start_ns: int
+    end_ns: int = 0
 
-    def covers(self, at: int) -> bool:
-        return self.since <= at and (not self.until or at < self.until)
+    def covers(self, time_ns: int) -> bool:
+        return self.start_ns <= time_ns and (not self.end_ns or time_ns < self.end_ns)
 
-    def overlaps(self, since: int, until: int) -> bool:
-        return self.since < until and (not self.until or self.until > since)
+    def overlaps(self, start_ns: int, end_ns: int) -> bool:
+        return self.start_ns < end_ns and (not self.end_ns or self.end_ns > start_ns)
 
 
 @dataclass(slots=True)
 class Restart:
-    """A controller that was ended, and is back when its callers find it ready (0: never)."""
+    """A restart of a controller."""
 
-    told: int  # SIGTERM; 0: it was killed without one
-    killed: int
-    ready: int = 0
+    sigterm_ns: int  # 0: it was killed without SIGTERM
+    killed_ns: int
+    ready_ns: int = 0  # the callers found it ready again
 
 
 @dataclass(slots=True)
-class Change:
-    """News of a server at one controller's discovery, and when the controller was handed it (0: never)."""
+class ListChange:
+    """A change of a server's state in the discovery service of one controller."""
 
     controller: str
     server: str
     state: str
-    at: int
+    listed_ns: int
     offset: int
-    handed: int = 0
+    received_ns: int = 0  # the controller received it
 
 
 @dataclass(slots=True)
 class History:
-    """All that was seen in one trial."""
+    """Everything that the stand-in programs and the runner recorded in one trial."""
 
     plan: Plan
     started_ns: int = 0
     ended_ns: int = 0
     calls: dict[str, Call] = field(default_factory=dict)
     faults: dict[str, list[Span]] = field(default_factory=lambda: defaultdict(list))  # by route
-    discovery_in_use: dict[str, list[tuple[int, str]]] = field(default_factory=lambda: defaultdict(list))
+    discovery_reads: dict[str, list[tuple[int, str]]] = field(default_factory=lambda: defaultdict(list))
     server_ends: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
     server_starts: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
     restarts: dict[str, list[Restart]] = field(default_factory=lambda: defaultdict(list))
-    changes: list[Change] = field(default_factory=list)
+    changes: list[ListChange] = field(default_factory=list)
     set_ups: dict[str, list[tuple[int, str]]] = field(default_factory=lambda: defaultdict(list))  # by server
-    crashes: list[Line] = field(default_factory=list)
-    usage: list[Line] = field(default_factory=list)
-    unreadable: list[Line] = field(default_factory=list)
-    rude: list[Line] = field(default_factory=list)
-    rude_served: list[Line] = field(default_factory=list)
-    unknown_answers: list[Line] = field(default_factory=list)
-    standing_at_end: dict[str, str] = field(default_factory=dict)  # calls that a living server still holds
-    max_stand_in_delay_ms: int = 0  # the longest delay that a stand-in measured of its own
-
-    def reachable(self, route: str, at: int) -> bool:
-        """Whether the proxy played no fault on a route at that time."""
-        return not any(span.covers(at) for span in self.faults[route])
-
-    def restarted(self, controller: str, since: int, until: int) -> Restart | None:
-        """The restart, if there was one, that had the controller out of service in a span of time."""
+    crashes: list[Event] = field(default_factory=list)
+    usage: list[Event] = field(default_factory=list)
+    unreadable: list[Event] = field(default_factory=list)
+    bad_clients: list[Event] = field(default_factory=list)
+    bad_clients_served: list[Event] = field(default_factory=list)
+    unknown_answers: list[Event] = field(default_factory=list)
+    held_at_end: dict[str, str] = field(default_factory=dict)  # call id to the running server that holds it
+    max_stand_in_delay_ms: int = 0  # the longest delay of the event loop of a stand-in program
+
+    def reachable(self, route: str, time_ns: int) -> bool:
+        """Whether no fault was injected on a route at that time."""
+        return not any(span.covers(time_ns) for span in self.faults[route])
+
+    def find_outage(self, controller: str, start_ns: int, end_ns: int) -> Restart | None:
+        """The restart whose time from the kill to readiness overlaps a span of time."""
         for restart in self.restarts[controller]:
-            if restart.killed < until and (not restart.ready or restart.ready > since):
+            if restart.killed_ns < end_ns and (not restart.ready_ns or restart.ready_ns > start_ns):
                 return restart
         return None
 
-    def told_to_end(self, controller: str, since: int, until: int) -> Restart | None:
-        """The restart whose span from SIGTERM to readiness touches a span of time."""
+    def find_restart(self, controller: str, start_ns: int, end_ns: int) -> Restart | None:
+        """The restart whose time from SIGTERM to readiness overlaps a span of time."""
         for restart in self.restarts[controller]:
-            if (restart.told or restart.killed) < until and (not restart.ready or restart.ready > since):
+            if (restart.sigterm_ns or restart.killed_ns) < end_ns and (
+                not restart.ready_ns or restart.ready_ns > start_ns
+            ):
                 return restart
         return None
 
 
 def load_history(plan: Plan, folder: Path) -> History:
-    """Put the ledgers of a trial together."""
+    """Build the history from the event logs in the folder of a trial."""
     history = History(plan)
-    for line in read_events(folder / "player.jsonl"):
-        _player(history, line)
-    routes = _server_routes(folder)
+    for event in read_events(folder / "player.jsonl"):
+        _apply_runner_event(history, event)
+    replacements = _address_replacements(folder)
     for name in controller_names(plan.controllers):
-        for line in read_events(folder / f"{name}.callers.jsonl"):
-            _callers(history, name, line)
-    for line in read_events(folder / "proxy.jsonl"):
-        _proxy(history, routes, line)
+        for event in read_events(folder / f"{name}.callers.jsonl"):
+            _apply_caller_event(history, name, event)
+    for event in read_events(folder / "proxy.jsonl"):
+        _apply_proxy_event(history, replacements, event)
     for path in sorted(folder.glob("s*.jsonl")):
-        _server(history, path.stem, list(read_events(path)))
+        _apply_server_events(history, path.stem, list(read_events(path)))
     for path in folder.glob("*.jsonl"):
-        late = [line["ms"] for line in read_events(path) if line["what"] == "late"]
-        history.max_stand_in_delay_ms = max([history.max_stand_in_delay_ms, *late])
+        delays = [event["ms"] for event in read_events(path) if event["what"] == "late"]
+        history.max_stand_in_delay_ms = max([history.max_stand_in_delay_ms, *delays])
     return history
 
 
-def _server_routes(folder: Path) -> dict[str, list[tuple[int, str]]]:
-    """By route, which server stood behind it from when on, where that changed."""
-    taken: dict[str, list[tuple[int, str]]] = defaultdict(list)
-    for line in read_events(folder / "player.jsonl"):
-        if line["what"] == "address_taken":
-            taken[line["route"]].append((line["t"], line["server"]))
-    return taken
+def _address_replacements(folder: Path) -> dict[str, list[tuple[int, str]]]:
+    """The servers that took over the address of another one: by route, the times and the new servers."""
+    replacements: dict[str, list[tuple[int, str]]] = defaultdict(list)
+    for event in read_events(folder / "player.jsonl"):
+        if event["what"] == "address_taken":
+            replacements[event["route"]].append((event["t"], event["server"]))
+    return replacements
 
 
-def _player(history: History, line: Line) -> None:
-    match line["what"]:
+def _apply_runner_event(history: History, event: Event) -> None:
+    match event["what"]:
         case "began":
-            history.started_ns = line["t"]
+            history.started_ns = event["t"]
         case "ended":
-            history.ended_ns = line["t"]
+            history.ended_ns = event["t"]
         case "server_ended":
-            history.server_ends[line["server"]].append(line["t"])
+            history.server_ends[event["server"]].append(event["t"])
         case "server_started":
-            history.server_starts[line["server"]].append(line["t"])
+            history.server_starts[event["server"]].append(event["t"])
         case "controller_told_to_end":
-            history.restarts[line["controller"]].append(
-                Restart(line["t"], line["t"] + int(line["kill_s"] * S))
+            history.restarts[event["controller"]].append(
+                Restart(event["t"], event["t"] + int(event["kill_s"] * SECOND_NS))
             )
         case "controller_killed":
-            restarts = history.restarts[line["controller"]]
+            restarts = history.restarts[event["controller"]]
             if (
                 restarts
-                and restarts[-1].told
-                and not restarts[-1].ready
-                and line["t"] - restarts[-1].told < 5 * S
+                and restarts[-1].sigterm_ns
+                and not restarts[-1].ready_ns
+                and event["t"] - restarts[-1].sigterm_ns < 5 * SECOND_NS
             ):
-                restarts[-1].killed = line["t"]
+                restarts[-1].killed_ns = event["t"]
             else:
-                restarts.append(Restart(0, line["t"]))
+                restarts.append(Restart(0, event["t"]))
         case "controller_crashed":
-            history.crashes.append(line)
+            history.crashes.append(event)
         case "usage":
-            history.usage.append(line)
+            history.usage.append(event)
         case "listed":
             history.changes.append(
-                Change(line["controller"], line["server"], line["state"], line["t"], line["offset"])
+                ListChange(event["controller"], event["server"], event["state"], event["t"], event["offset"])
             )
 
 
-def _callers(history: History, controller: str, line: Line) -> None:
+def _apply_caller_event(history: History, controller: str, event: Event) -> None:
     calls = history.calls
-    call = calls.get(line.get("call", ""))
-    match line["what"]:
+    call = calls.get(event.get("call", ""))
+    match event["what"]:
         case "placed":
-            calls[line["call"]] = Call(
-                line["call"], controller, line["kind"], line["patience_ms"], line["exchange"]
+            calls[event["call"]] = Call(
+                event["call"], controller, event["kind"], event["patience_ms"], event["exchange"]
             )
         case "sent" if call is not None:
-            call.sent_ns, call.line = line["t"], line["line"]
+            call.sent_ns, call.connection = event["t"], event["line"]
         case "answer" if call is not None:
-            call.answers.append(line)
-            if line["status"] == 200:
-                call.stood = line["made_by"].removeprefix("o=").partition(" ")[0]
+            call.answers.append(event)
+            if event["status"] == 200:
+                call.answered_by = event["made_by"].removeprefix("o=").partition(" ")[0]
         case "answer":
-            history.unknown_answers.append(line)
+            history.unknown_answers.append(event)
         case "given_up" if call is not None:
-            call.given_up = line["t"]
+            call.cancelled_ns = event["t"]
         case "hung_up" if call is not None:
-            call.hung_up = line["t"]
+            call.hung_up_ns = event["t"]
         case "bye" if call is not None:
-            call.bye_times.append(line["t"])
+            call.bye_times.append(event["t"])
         case "lost":
-            for name in line["calls"]:
-                calls[name].lost, calls[name].lost_why = line["t"], line["why"]
-            for name in line["crossed"]:
-                calls[name].crossed = True
+            for call_id in event["calls"]:
+                calls[call_id].lost_ns, calls[call_id].lost_reason = event["t"], event["why"]
+            for call_id in event["crossed"]:
+                calls[call_id].crossed_close = True
         case "ready":
             for restart in history.restarts[controller]:
-                if not restart.ready and restart.killed < line["t"]:
-                    restart.ready = line["t"]
+                if not restart.ready_ns and restart.killed_ns < event["t"]:
+                    restart.ready_ns = event["t"]
         case "unreadable":
-            history.unreadable.append(line)
+            history.unreadable.append(event)
         case "rude":
-            history.rude.append(line | {"controller": controller})
+            history.bad_clients.append(event | {"controller": controller})
         case "rude_served":
-            history.rude_served.append(line)
+            history.bad_clients_served.append(event)
 
 
-def _proxy(history: History, routes: dict[str, list[tuple[int, str]]], line: Line) -> None:
-    route = line.get("route", "")
-    call = history.calls.get(line.get("call", ""))
-    match line["what"]:
+def _apply_proxy_event(
+    history: History, replacements: dict[str, list[tuple[int, str]]], event: Event
+) -> None:
+    route = event.get("route", "")
+    call = history.calls.get(event.get("call", ""))
+    match event["what"]:
         case "fault":
-            _fault(history, route, line)
-        case "set_up" if line["way"] == "out":
-            server = _server_at(routes, route, line["t"])
-            history.set_ups[server].append((line["t"], line["call"]))
+            _apply_network_fault(history, route, event)
+        case "set_up" if event["way"] == "out":
+            server = _server_behind(replacements, route, event["t"])
+            history.set_ups[server].append((event["t"], event["call"]))
             if call is not None:
-                call.attempts.append(Attempt(server, route, line["t"], line["connection"]))
-        case "answer" if line["way"] == "in" and call is not None:
-            _end_attempt(call, route, line, "answer")
-        case "release" if line["way"] == "in" and call is not None:
-            own = route.partition(".")[0] == call.controller
-            if not _end_attempt(call, route, line, "release") and own and call.stood:
-                call.handed.append(line["t"])
-        case "release" if line["way"] == "out" and call is not None:
-            _end_attempt(call, route, line, "given_up")
+                call.attempts.append(Attempt(server, route, event["t"], event["connection"]))
+        case "answer" if event["way"] == "in" and call is not None:
+            _end_attempt(call, route, event, "answer")
+        case "release" if event["way"] == "in" and call is not None:
+            own_route = route.partition(".")[0] == call.controller
+            if not _end_attempt(call, route, event, "release") and own_route and call.answered_by:
+                call.release_times.append(event["t"])
+        case "release" if event["way"] == "out" and call is not None:
+            _end_attempt(call, route, event, "given_up")
         case "connection_ended":
             for other in history.calls.values():
                 for attempt in other.attempts:
-                    if attempt.connection == line["connection"] and not attempt.ended:
-                        attempt.ended, attempt.how = line["t"], "broken"
+                    if attempt.connection == event["connection"] and not attempt.ended_ns:
+                        attempt.ended_ns, attempt.outcome = event["t"], "broken"
         case "discovery_event":
-            controller = route.partition(".")[0]
+            name = route.partition(".")[0]
             for change in history.changes:
-                if (change.controller, change.offset) == (controller, line["offset"]) and not change.handed:
-                    change.handed = line["t"]
+                if (change.controller, change.offset) == (name, event["offset"]) and not change.received_ns:
+                    change.received_ns = event["t"]
         case "discovery_read":
-            history.discovery_in_use[route.partition(".")[0]].append((line["t"], route))
+            history.discovery_reads[route.partition(".")[0]].append((event["t"], route))
 
 
-def _fault(history: History, route: str, line: Line) -> None:
-    if line["do"] == "reset":
+def _apply_network_fault(history: History, route: str, event: Event) -> None:
+    if event["do"] == "reset":
         return
     spans = history.faults[route]
-    lasting = bool(spans) and not spans[-1].until
-    if line["do"] == "pass" and lasting:
-        spans[-1].until = line["t"]
-    elif line["do"] != "pass" and not lasting:
-        spans.append(Span(line["t"]))  # one fault that follows another is one time out of reach
+    active = bool(spans) and not spans[-1].end_ns
+    if event["do"] == "pass" and active:
+        spans[-1].end_ns = event["t"]
+    elif event["do"] != "pass" and not active:
+        spans.append(Span(event["t"]))  # consecutive faults count as one outage
 
 
-def _server_at(routes: dict[str, list[tuple[int, str]]], route: str, at: int) -> str:
+def _server_behind(replacements: dict[str, list[tuple[int, str]]], route: str, time_ns: int) -> str:
     server = route.partition(".")[2]
-    for since, name in routes.get(route, ()):
-        if at >= since:
+    for start_ns, name in replacements.get(route, ()):
+        if time_ns >= start_ns:
             server = name
     return server
 
 
-def _end_attempt(call: Call, route: str, line: Line, how: str) -> bool:
-    attempt = next((a for a in reversed(call.attempts) if a.route == route and not a.ended), None)
+def _end_attempt(call: Call, route: str, event: Event, outcome: str) -> bool:
+    """Record the end of the open attempt on a route; ``False`` if there is none."""
+    attempt = next((a for a in reversed(call.attempts) if a.route == route and not a.ended_ns), None)
     if attempt is None:
         return False
-    attempt.ended, attempt.how, attempt.cause = line["t"], how, line["cause"]
+    attempt.ended_ns, attempt.outcome, attempt.cause = event["t"], outcome, event["cause"]
     return True
 
 
-def _server(history: History, name: str, lines: list[Line]) -> None:
+def _apply_server_events(history: History, name: str, events: list[Event]) -> None:
     held: dict[str, int] = {}
-    for line in lines:
-        call = history.calls.get(line.get("call", ""))
-        match line["what"]:
+    for event in events:
+        call = history.calls.get(event.get("call", ""))
+        match event["what"]:
             case "started":
                 held = {}
             case "answered":
-                held[line["call"]] = line["t"]
+                held[event["call"]] = event["t"]
             case "over":
-                held.pop(line["call"], None)
-                if call is not None and call.stood == name:
-                    call.over = line["t"]
+                held.pop(event["call"], None)
+                if call is not None and call.answered_by == name:
+                    call.server_ended_ns = event["t"]
             case "released":
-                held.pop(line["call"], None)
-                if call is not None and call.stood == name and line["stood"]:
-                    call.released = line["t"]
+                held.pop(event["call"], None)
+                if call is not None and call.answered_by == name and event["stood"]:
+                    call.released_ns = event["t"]
     ends, starts = history.server_ends[name], history.server_starts[name]
     if not ends or (starts and starts[-1] > ends[-1]):
-        history.standing_at_end |= dict.fromkeys(held, name)
+        history.held_at_end |= dict.fromkeys(held, name)
