--- a/arrowrail/lab/soak/callers.py
+++ b/arrowrail/lab/soak/callers.py
@@ -1,13 +1,19 @@
-"""Stand-in callers of one controller: SIP over long and short connections, as the operators' pages describe
-them.
+"""Stand-in callers of one controller: SIP over long-lived and short connections, as the operators' documents
+describe them.
 
 ``python -m arrowrail.lab.soak.callers --to ADDRESS --ledger FILE --class NAME=DEADLINE_MS:WEIGHT ...``
 
-Calls arrive at random times drawn from the seed and do not wait for answers.  A controller is used once it
-has passed a test after its start.  Commands on the standard input: ``{"do": "shutdown", "connect_s": A,
-"send_s": B}`` (the controller was told to end: no new connections after A s, nothing sent after B s, until it
-is back), ``{"do": "killed"}``, ``{"do": "crowd", "calls": N}``, ``{"do": "rude", "how": NAME}``, ``{"do":
-"stop"}``.
+Calls arrive at random times drawn from the seed and do not wait for answers.  Calls are sent to a controller
+once it has answered an OPTIONS probe after its start.  Commands are read from the standard input:
+
+- ``{"do": "shutdown", "connect_s": A, "send_s": B}``: the controller got SIGTERM; no new connections after
+  A s and no requests after B s, until it is ready again.
+- ``{"do": "killed"}``: the controller ended; close all connections and probe for its restart.
+- ``{"do": "crowd", "calls": N}``: place N calls at once.
+- ``{"do": "rude", "how": NAME}``: connect as a misbehaving client of that kind.
+- ``{"do": "stop"}``: place no more calls.
+
+The words in capitals (PROTOCOL, STANDING) name the operators' document that sets a time.
 """
 
 from __future__ import annotations
@@ -26,15 +32,16 @@
 from arrowrail.wire.sip import messages as sip
 from arrowrail.wire.stream import Stream, connect
 
-S = 1_000 * MS
+SECOND_NS = 1_000 * MS
 RECONNECT_NS = 100 * MS
-TEST_NS = 500 * MS  # how long a test of the controller may take
-CROSSING_NS = 50 * MS  # PROTOCOL: a set-up that crosses a close goes again on a new connection, once
-IDLE_NS = 4_000 * MS  # PROTOCOL: callers close a connection after so long with no call on it
-RUDE_LIMIT_NS = 3_500 * MS  # STANDING's 3 s for an answer or a close, and the time to see it
-LONG_LINES = 3
-EARLY_SHARE = 0.4  # of the patience: when impatient callers give up
-RUDE = {
+PROBE_TIMEOUT_NS = 500 * MS
+# PROTOCOL: a set-up that crosses the close of its connection is sent again once, on a new connection.
+CROSSING_NS = 50 * MS
+IDLE_TIMEOUT_NS = 4_000 * MS  # PROTOCOL: callers close a connection that carries no call for this long
+BAD_CLIENT_TIMEOUT_NS = 3_500 * MS  # STANDING: 3 s for an answer or a close; 0.5 s to observe it
+LONG_CONNECTIONS = 3
+EARLY_CANCEL_SHARE = 0.4  # of the patience, after which some callers cancel
+BAD_INPUTS = {
     "noise": b"\x00\x01\x02garbage\r\n\r\n" * 4,
     "half": b"INVITE sip:1@net SIP/2.0\r\nCall-ID: 0123",
     "endless": b"INVITE sip:1@net SIP/2.0\r\nX-Long: " + b"y" * 20_000,
@@ -48,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerClass:
-    """One class of call as its callers place it."""
+    """One class of calls, with the time that its callers wait for an answer."""
 
     name: str
     patience_ms: int
@@ -56,51 +63,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
-    """How the callers of a trial behave; shares lie between 0 and 1."""
+class CallerBehaviour:
+    """Shares of calls that the callers treat in some way, between 0 and 1."""
 
-    short_share: float = 0.3  # calls that open a connection of their own
-    early_share: float = 0.05  # set-ups given up before their time
-    hang_up_share: float = 0.3  # calls that stand and are ended by their caller
-    retry_share: float = 0.2  # refused set-ups that come again at once
+    short_share: float = 0.3  # calls on a connection of their own
+    early_share: float = 0.05  # set-ups cancelled before the deadline
+    hang_up_share: float = 0.3  # established calls that the caller ends
+    retry_share: float = 0.2  # refused calls that the caller redials at once
 
 
 @dataclass(slots=True)
-class Placed:
-    """A set-up that was sent and has no final answer yet."""
+class PendingSetUp:
+    """A set-up that was sent and has no final response yet."""
 
     message: bytes
     sent_ns: int
     resent: bool = False
 
 
-class Line:
+class CallerConnection:
     """One connection to the controller; a short one carries a single set-up."""
 
     def __init__(self, callers: Callers, short: bool) -> None:
         self.callers, self.short = callers, short
-        self.number = callers.next_line()
+        self.number = callers.next_number()
         self.parser = sip.SipParser()
-        self.open_calls: dict[str, Placed] = {}
-        self.waiting: list[tuple[str, bytes]] = []  # for the connection to come up
-        self.idle_since = callers.loop.now
+        self.pending: dict[str, PendingSetUp] = {}
+        self.queued: list[tuple[str, bytes]] = []  # until the connection is established
+        self.last_used_ns = callers.loop.now
         self.usable = False
         self.stream: Stream | None = connect(callers.loop, self, callers.address)
 
     def connected(self) -> None:
-        self.callers.ledger.record("connected", line=self.number)
+        self.callers.event_log.record("connected", line=self.number)
         self.usable = True
-        waiting, self.waiting = self.waiting, []
-        for call, message in waiting:
-            self.place(call, message)
+        queued, self.queued = self.queued, []
+        for call_id, message in queued:
+            self.place(call_id, message)
 
-    def place(self, call: str, message: bytes, resent: bool = False) -> None:
-        """Send a set-up, now or once the connection is up."""
+    def place(self, call_id: str, message: bytes, resent: bool = False) -> None:
+        """Send a set-up, now or once the connection is established."""
         if not self.usable or self.stream is None:
-            self.waiting.append((call, message))
+            self.queued.append((call_id, message))
             return
-        self.open_calls[call] = Placed(message, self.callers.loop.now, resent)
-        self.callers.ledger.record("sent", call=call, line=self.number, resent=resent)
+        self.pending[call_id] = PendingSetUp(message, self.callers.loop.now, resent)
+        self.callers.event_log.record("sent", call=call_id, line=self.number, resent=resent)
         self.stream.send(message)
 
     def send(self, message: bytes) -> None:
@@ -110,15 +117,15 @@
     def received(self, data: bytes) -> None:
         for message in self.parser.feed(data):
             if isinstance(message, sip.Malformed):
-                self.callers.ledger.record("unreadable", line=self.number, why=message.reason)
+                self.callers.event_log.record("unreadable", line=self.number, why=message.reason)
             else:
-                self.callers.message(self, message)
-        self.idle_since = self.callers.loop.now
+                self.callers.message_received(self, message)
+        self.last_used_ns = self.callers.loop.now
 
-    def lost(self, why: OSError | None) -> None:
-        name = "closed" if why is None else errno.errorcode.get(why.errno or 0, "broken")
+    def lost(self, error: OSError | None) -> None:
+        reason = "closed" if error is None else errno.errorcode.get(error.errno or 0, "broken")
         self.stream, self.usable = None, False
-        self.callers.line_lost(self, name)
+        self.callers.connection_lost(self, reason)
 
     def close(self) -> None:
         stream, self.stream, self.usable = self.stream, None, False
@@ -128,67 +135,67 @@
 
 @dataclass(slots=True)
 class Callers:
-    """All callers of one controller."""
+    """All callers of one controller, and their view of its state."""
 
     loop: Loop
     address: str
-    ledger: EventLog
+    event_log: EventLog
     random: random.Random
     classes: tuple[CallerClass, ...]
     exchanges: tuple[int, ...]
-    habits: Habits
-    lines: list[Line] = field(default_factory=list)
-    ready: bool = False  # the controller has passed a test since its start
-    connect_until: int = 0  # 0: no end
-    send_until: int = 0
-    standing: dict[str, bool] = field(default_factory=dict)
-    _lines: int = 0
-    _test: Line | None = None
-
-    def next_line(self) -> int:
-        self._lines += 1
-        return self._lines
-
-    # --- The controller's state, as callers see it ----------------------------------------------------------
-
-    def test(self) -> None:
-        """Try whether the controller is ready; again soon if it is not."""
+    behaviour: CallerBehaviour
+    connections: list[CallerConnection] = field(default_factory=list)
+    ready: bool = False  # the controller has answered a probe since its start
+    connect_until: int = 0  # 0: no limit
+    send_until: int = 0  # 0: no limit
+    established: dict[str, bool] = field(default_factory=dict)
+    _last_number: int = 0
+    _probe: CallerConnection | None = None
+
+    def next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
+
+    # --- State of the controller and connections ------------------------------------------------------------
+
+    def probe(self) -> None:
+        """Send an OPTIONS request to the controller, repeatedly until it answers one."""
         if self.ready:
             return
-        if self._test is not None:
-            self._test.close()
+        if self._probe is not None:
+            self._probe.close()
         try:
-            self._test = Line(self, True)
-            self._test.send(sip.request("OPTIONS", "sip:ping@net", "peer", f"{self.next_line():016x}", 1))
+            self._probe = CallerConnection(self, True)
+            self._probe.send(sip.request("OPTIONS", "sip:ping@net", "peer", f"{self.next_number():016x}", 1))
         except OSError:
-            self._test = None
-        self.loop.timers.schedule(self.loop.now + TEST_NS, self.test)
+            self._probe = None
+        self.loop.timers.schedule(self.loop.now + PROBE_TIMEOUT_NS, self.probe)
 
-    def passed(self) -> None:
-        """The controller is ready: calls go to it from now on."""
+    def probe_answered(self) -> None:
+        """Send calls to the controller from now on."""
         if not self.ready:
             self.ready, self.connect_until, self.send_until = True, 0, 0
-            self.ledger.record("ready")
-            self.open_lines()
+            self.event_log.record("ready")
+            self.open_long_connections()
 
-    def command(self, asked: Any) -> None:
+    def run_command(self, command: Any) -> None:
         now = self.loop.now
-        self.ledger.record("command", **asked)
-        if asked["do"] == "shutdown":
-            self.connect_until = now + int(asked["connect_s"] * S)
-            self.send_until = now + int(asked["send_s"] * S)
-        elif asked["do"] == "killed":
+        self.event_log.record("command", **command)
+        if command["do"] == "shutdown":
+            self.connect_until = now + int(command["connect_s"] * SECOND_NS)
+            self.send_until = now + int(command["send_s"] * SECOND_NS)
+        elif command["do"] == "killed":
             self.ready = False
-            for line in self.lines:
-                line.close()
-            self.lines = []
-            self.loop.timers.schedule(now + RECONNECT_NS, self.test)
-        elif asked["do"] == "crowd":
-            for _ in range(asked["calls"]):
-                self.call()
-        elif asked["do"] == "rude":
-            Rude(self, asked["how"])
-        elif asked["do"] == "stop":
+            for connection in self.connections:
+                connection.close()
+            self.connections = []
+            self.loop.timers.schedule(now + RECONNECT_NS, self.probe)
+        elif command["do"] == "crowd":
+            for _ in range(command["calls"]):
+                self.place_call()
+        elif command["do"] == "rude":
+            BadClient(self, command["how"])
+        elif command["do"] == "stop":
             self.send_until = self.connect_until = now
 
     @property
@@ -199,176 +206,192 @@
     def may_send(self) -> bool:
         return self.ready and (not self.send_until or self.loop.now < self.send_until)
 
-    def open_lines(self) -> None:
-        long_lines = [line for line in self.lines if not line.short and line.stream is not None]
-        for _ in range(LONG_LINES - len(long_lines)):
-            self.open_line(short=False)
+    def open_long_connections(self) -> None:
+        long_connections = [
+            connection
+            for connection in self.connections
+            if not connection.short and connection.stream is not None
+        ]
+        for _ in range(LONG_CONNECTIONS - len(long_connections)):
+            self.open_connection(short=False)
 
-    def open_line(self, short: bool) -> Line | None:
+    def open_connection(self, short: bool) -> CallerConnection | None:
         if not self.may_connect:
             return None
         try:
-            line = Line(self, short)
+            connection = CallerConnection(self, short)
         except OSError:
             return None
-        self.lines.append(line)
-        return line
+        self.connections.append(connection)
+        return connection
 
-    def line_lost(self, line: Line, why: str) -> None:
-        if line is self._test:
-            self._test = None
+    def connection_lost(self, connection: CallerConnection, reason: str) -> None:
+        if connection is self._probe:
+            self._probe = None
             return
-        if line in self.lines:
-            self.lines.remove(line)
-        open_calls, line.open_calls = line.open_calls, {}
+        if connection in self.connections:
+            self.connections.remove(connection)
+        pending, connection.pending = connection.pending, {}
         crossing = [
-            (call, placed) for call, placed in open_calls.items()
-            if not placed.resent and self.loop.now - placed.sent_ns <= CROSSING_NS
+            (call_id, set_up) for call_id, set_up in pending.items()
+            if not set_up.resent and self.loop.now - set_up.sent_ns <= CROSSING_NS
         ]  # fmt: skip
-        crossed = {call for call, _ in crossing}
-        lost = [call for call in open_calls if call not in crossed]
-        self.ledger.record("lost", line=line.number, why=why, calls=lost, crossed=sorted(crossed))
-        for call, placed in crossing:
-            again = self.open_line(short=True)
-            if again is not None:
-                again.place(call, placed.message, resent=True)
-        if not line.short:
-            self.loop.timers.schedule(self.loop.now + RECONNECT_NS, self.open_lines)
+        crossed = {call_id for call_id, _ in crossing}
+        lost = [call_id for call_id in pending if call_id not in crossed]
+        self.event_log.record("lost", line=connection.number, why=reason, calls=lost, crossed=sorted(crossed))
+        for call_id, set_up in crossing:
+            replacement = self.open_connection(short=True)
+            if replacement is not None:
+                replacement.place(call_id, set_up.message, resent=True)
+        if not connection.short:
+            self.loop.timers.schedule(self.loop.now + RECONNECT_NS, self.open_long_connections)
 
     # --- Calls ----------------------------------------------------------------------------------------------
 
-    def call(self, retry: bool = False) -> None:
-        """Place one call, on a connection of its own or on a long one."""
-        kind = self.random.choices(self.classes, [c.weight for c in self.classes])[0]
+    def place_call(self, retry: bool = False) -> None:
+        """Place one call, on a connection of its own or on a long-lived one."""
+        call_class = self.random.choices(self.classes, [c.weight for c in self.classes])[0]
         exchange = self.random.choice(self.exchanges)
-        call = f"{self.random.getrandbits(64):016x}"
+        call_id = f"{self.random.getrandbits(64):016x}"
         number = f"{self.random.randrange(1 << 40):016x}"
-        short = self.random.random() < self.habits.short_share
-        early = self.random.random() < self.habits.early_share
+        short = self.random.random() < self.behaviour.short_share
+        early = self.random.random() < self.behaviour.early_share
         if not self.may_send:
             return
-        usable = [line for line in self.lines if line.usable and not line.short]
-        line = self.open_line(short=True) if short or not usable else self.random.choice(usable)
-        if line is None:
+        usable = [connection for connection in self.connections if connection.usable and not connection.short]
+        connection = self.open_connection(short=True) if short or not usable else self.random.choice(usable)
+        if connection is None:
             return
-        body = f"{call}\r\nc=IN IP4 127.0.0.1\r\n"
+        body = f"{call_id}\r\nc=IN IP4 127.0.0.1\r\n"
         head = (
-            f"INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call}\r\n"
-            f"CSeq: 1 INVITE\r\nSubject: {kind.name}\r\nX-Patience: {kind.patience_ms}\r\n"
+            f"INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call_id}\r\n"
+            f"CSeq: 1 INVITE\r\nSubject: {call_class.name}\r\nX-Patience: {call_class.patience_ms}\r\n"
             + ("X-Retry: 1\r\n" if retry else "")
             + f"X-Facts: dest:{exchange};width:1;via:-1\r\nContent-Length: {len(body)}\r\n\r\n"
         )
-        self.ledger.record(
-            "placed", call=call, kind=kind.name, patience_ms=kind.patience_ms, exchange=exchange
+        self.event_log.record(
+            "placed",
+            call=call_id,
+            kind=call_class.name,
+            patience_ms=call_class.patience_ms,
+            exchange=exchange,
         )
-        line.place(call, (head + body).encode())
+        connection.place(call_id, (head + body).encode())
         if early:
-            wait = int(kind.patience_ms * EARLY_SHARE) * MS
-            self.loop.timers.schedule(self.loop.now + wait, lambda: self._give_up(call))
+            wait = int(call_class.patience_ms * EARLY_CANCEL_SHARE) * MS
+            self.loop.timers.schedule(self.loop.now + wait, lambda: self._cancel(call_id))
 
-    def _holder(self, call: str) -> Line | None:
-        return next((line for line in self.lines if call in line.open_calls), None)
+    def _connection_of(self, call_id: str) -> CallerConnection | None:
+        return next((connection for connection in self.connections if call_id in connection.pending), None)
 
-    def _give_up(self, call: str) -> None:
-        line = self._holder(call)
-        if line is not None and self.may_send:
-            self.ledger.record("given_up", call=call)
-            line.send(sip.request("CANCEL", f"sip:{call}@net", "peer", call, 1))
+    def _cancel(self, call_id: str) -> None:
+        connection = self._connection_of(call_id)
+        if connection is not None and self.may_send:
+            self.event_log.record("given_up", call=call_id)
+            connection.send(sip.request("CANCEL", f"sip:{call_id}@net", "peer", call_id, 1))
 
-    def message(self, line: Line, message: sip.SipMessage) -> None:
-        call = message.call_id
+    def message_received(self, connection: CallerConnection, message: sip.SipMessage) -> None:
+        call_id = message.call_id
         if message.method == "BYE":
-            self.ledger.record("bye", call=call, line=line.number, reason=message.headers.get("reason", ""))
-            self.standing.pop(call, None)
-            line.send(sip.response(200, message))
+            self.event_log.record(
+                "bye", call=call_id, line=connection.number, reason=message.headers.get("reason", "")
+            )
+            self.established.pop(call_id, None)
+            connection.send(sip.response(200, message))
         elif message.cseq_method == "OPTIONS" and message.status == 200:
-            self.passed()
+            self.probe_answered()
         elif message.cseq_method == "INVITE" and message.status >= 200:
-            self._answered(line, message)
+            self._response_received(connection, message)
 
-    def _answered(self, line: Line, message: sip.SipMessage) -> None:
-        call = message.call_id
+    def _response_received(self, connection: CallerConnection, message: sip.SipMessage) -> None:
+        call_id = message.call_id
         made_by = message.body.partition(b"\r\n")[0].decode("utf-8", "replace") if message.body else ""
-        self.ledger.record("answer", call=call, status=message.status, line=line.number, made_by=made_by)
-        line.open_calls.pop(call, None)
-        line.send(sip.request("ACK", f"sip:{call}@net", "peer", call, 1))
+        self.event_log.record(
+            "answer", call=call_id, status=message.status, line=connection.number, made_by=made_by
+        )
+        connection.pending.pop(call_id, None)
+        connection.send(sip.request("ACK", f"sip:{call_id}@net", "peer", call_id, 1))
         if message.status == 200:
-            self.standing[call] = True
-            if self.random.random() < self.habits.hang_up_share:
-                wait = int(self.random.uniform(0.5, 3.0) * S)
-                self.loop.timers.schedule(self.loop.now + wait, lambda: self._hang_up(call))
-        elif message.status in (480, 503) and self.random.random() < self.habits.retry_share:
-            self.call(retry=True)
-        if line.short and not line.open_calls:
-            self.loop.timers.schedule(self.loop.now + 50 * MS, lambda: self._close_idle(line))
-
-    def _hang_up(self, call: str) -> None:
-        """End a call that stands, on any connection."""
-        usable = [line for line in self.lines if line.usable]
-        if call in self.standing and usable and self.may_send:
-            del self.standing[call]
-            self.ledger.record("hung_up", call=call)
-            self.random.choice(usable).send(sip.request("BYE", f"sip:{call}@net", "peer", call, 2))
-
-    def _close_idle(self, line: Line) -> None:
-        if not line.open_calls and line in self.lines:
-            self.lines.remove(line)
-            line.close()
+            self.established[call_id] = True
+            if self.random.random() < self.behaviour.hang_up_share:
+                wait = int(self.random.uniform(0.5, 3.0) * SECOND_NS)
+                self.loop.timers.schedule(self.loop.now + wait, lambda: self._hang_up(call_id))
+        elif message.status in (480, 503) and self.random.random() < self.behaviour.retry_share:
+            self.place_call(retry=True)
+        if connection.short and not connection.pending:
+            self.loop.timers.schedule(self.loop.now + 50 * MS, lambda: self._close_idle(connection))
+
+    def _hang_up(self, call_id: str) -> None:
+        """End an established call, on any connection."""
+        usable = [connection for connection in self.connections if connection.usable]
+        if call_id in self.established and usable and self.may_send:
+            del self.established[call_id]
+            self.event_log.record("hung_up", call=call_id)
+            self.random.choice(usable).send(sip.request("BYE", f"sip:{call_id}@net", "peer", call_id, 2))
+
+    def _close_idle(self, connection: CallerConnection) -> None:
+        if not connection.pending and connection in self.connections:
+            self.connections.remove(connection)
+            connection.close()
 
     def sweep(self) -> None:
-        """Close what is idle for long, as callers do, and have long connections open again."""
-        for line in list(self.lines):
-            if line.short and not line.open_calls and self.loop.now - line.idle_since > IDLE_NS:
-                self._close_idle(line)
+        """Close idle short connections and open missing long-lived ones, once per second."""
+        for connection in list(self.connections):
+            if (
+                connection.short
+                and not connection.pending
+                and self.loop.now - connection.last_used_ns > IDLE_TIMEOUT_NS
+            ):
+                self._close_idle(connection)
         if self.ready:
-            self.open_lines()
-        self.loop.timers.schedule(self.loop.now + S, self.sweep)
+            self.open_long_connections()
+        self.loop.timers.schedule(self.loop.now + SECOND_NS, self.sweep)
 
 
-class Rude:
-    """A client that sends what is no call, and is owed an answer or a close."""
+class BadClient:
+    """A client that sends no valid call; the controller must answer it or close its connection."""
 
-    def __init__(self, callers: Callers, how: str) -> None:
-        self.callers, self.how, self.answered = callers, how, False
+    def __init__(self, callers: Callers, kind: str) -> None:
+        self.callers, self.kind, self.answered = callers, kind, False
         try:
             self.stream = connect(callers.loop, self, callers.address)
         except OSError:
             return
-        callers.loop.timers.schedule(callers.loop.now + RUDE_LIMIT_NS, self._late)
+        callers.loop.timers.schedule(callers.loop.now + BAD_CLIENT_TIMEOUT_NS, self._timed_out)
 
     def connected(self) -> None:
-        call = f"{self.callers.random.getrandbits(64):016x}".encode()
-        data = RUDE[self.how]
-        self.stream.send(data % call if b"%s" in data else data)
+        call_id = f"{self.callers.random.getrandbits(64):016x}".encode()
+        data = BAD_INPUTS[self.kind]
+        self.stream.send(data % call_id if b"%s" in data else data)
 
     def received(self, data: bytes) -> None:
         if data.startswith(b"SIP/2.0 200"):
-            self.callers.ledger.record("rude_served", how=self.how)
+            self.callers.event_log.record("rude_served", how=self.kind)
         self.answered = True
 
-    def lost(self, _why: OSError | None) -> None:
+    def lost(self, _error: OSError | None) -> None:
         self.answered = True
 
-    def _late(self) -> None:
-        self.callers.ledger.record("rude", how=self.how, answered=self.answered)
+    def _timed_out(self) -> None:
+        self.callers.event_log.record("rude", how=self.kind, answered=self.answered)
         self.stream.close()
 
 
-def schedule(callers: Callers, rate: float, seconds: float) -> None:
-    """Draw the arrivals ahead: they do not depend on what is answered."""
-    at = 0.0
-    place: Callable[[], None] = callers.call
+def schedule_arrivals(callers: Callers, rate: float, seconds: float) -> None:
+    """Schedule all arrivals at the start, so that they do not depend on the answers."""
+    at_s = 0.0
+    place_call: Callable[[], None] = callers.place_call
     while True:
-        at += callers.random.expovariate(rate)
-        if at >= seconds:
+        at_s += callers.random.expovariate(rate)
+        if at_s >= seconds:
             return
-        callers.loop.timers.schedule(callers.loop.now + int(at * S), place)
+        callers.loop.timers.schedule(callers.loop.now + int(at_s * SECOND_NS), place_call)
 
 
-def class_of(text: str) -> CallerClass:
-    """``NAME=PATIENCE_MS:WEIGHT``"""
-    name, _, figures = text.partition("=")
-    patience, _, weight = figures.partition(":")
+def parse_class(text: str) -> CallerClass:
+    """Parse ``NAME=PATIENCE_MS:WEIGHT``."""
+    name, _, values = text.partition("=")
+    patience, _, weight = values.partition(":")
     return CallerClass(name, int(patience), float(weight))
 
 
@@ -379,29 +402,31 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--rate", type=float, default=20.0)
     parser.add_argument("--seconds", type=float, default=10.0)
-    parser.add_argument("--class", dest="classes", type=class_of, action="append", default=[])
+    parser.add_argument("--class", dest="classes", type=parse_class, action="append", default=[])
     parser.add_argument("--exchange", dest="exchanges", type=int, action="append", default=[])
     parser.add_argument("--short-share", type=float, default=0.3)
     parser.add_argument("--early-share", type=float, default=0.05)
     parser.add_argument("--hang-up-share", type=float, default=0.3)
     parser.add_argument("--retry-share", type=float, default=0.2)
-    given = parser.parse_args()
-    loop, ledger = Loop(), EventLog(given.ledger)
-    habits = Habits(given.short_share, given.early_share, given.hang_up_share, given.retry_share)
+    options = parser.parse_args()
+    loop, event_log = Loop(), EventLog(options.ledger)
+    behaviour = CallerBehaviour(
+        options.short_share, options.early_share, options.hang_up_share, options.retry_share
+    )
     callers = Callers(
         loop,
-        given.to,
-        ledger,
-        random.Random(given.seed),
-        tuple(given.classes),
-        tuple(given.exchanges),
-        habits,
+        options.to,
+        event_log,
+        random.Random(options.seed),
+        tuple(options.classes),
+        tuple(options.exchanges),
+        behaviour,
     )
-    callers.test()
+    callers.probe()
     callers.sweep()
-    schedule(callers, given.rate, given.seconds)
-    read_commands(loop, callers.command)
-    run_until_sigterm(loop, ledger)
+    schedule_arrivals(callers, options.rate, options.seconds)
+    read_commands(loop, callers.run_command)
+    run_until_sigterm(loop, event_log)
 
 
 if __name__ == "__main__":
--- a/arrowrail/lab/soak/checks.py
+++ b/arrowrail/lab/soak/checks.py
@@ -14,7 +14,7 @@
 from arrowrail.lab.platform import Deployment
 from arrowrail.lab.soak.history import MS, SECOND_NS, Attempt, Call, History, ListChange
 
-SLACK_NS = 50 * MS  # PROTOCOL: tolerance of each time limit
+SLACK_NS = 50 * MS  # PROTOCOL: each time limit has a tolerance of 50 ms
 MAX_ANSWER_DELAY_NS = 500 * MS  # STANDING: an answer up to 0.5 s after the deadline is worthless but allowed
 # A list update counts as received at the latest this long after discovery had it and was reachable.
 LIST_UPDATE_LIMIT_NS = 6_000 * MS
--- a/arrowrail/lab/soak/variants.py
+++ b/arrowrail/lab/soak/variants.py
@@ -1,7 +1,7 @@
-"""The program with one of its guards taken out: what the soak's judge has to catch.
+"""The controller with one safeguard disabled, to show that the checks of a fault trial detect its absence.
 
-``python -m arrowrail.lab.soak.variants GUARD`` starts a controller as ``run`` does, but for that guard.  It
-is only for trials: nothing of the program itself can be switched off.
+``python -m arrowrail.lab.soak.variants SAFEGUARD`` starts a controller as ``run`` does, without that
+safeguard.  It is only for trials: the controller itself has no switch to disable a safeguard.
 """
 
 from __future__ import annotations
@@ -21,60 +21,60 @@
 
 
 def _without_drain() -> None:
-    """News that a server drains is not taken in."""
-    taken = engine.Core.update_endpoints
+    """The state ``terminating`` of a server in list updates is ignored."""
+    update_endpoints = engine.Core.update_endpoints
 
-    def list_news(self: engine.Core, source: str, whole: bool, lines: Any) -> None:
-        taken(self, source, whole, [line for line in lines if line.state != "terminating"])
+    def filtered_update(self: engine.Core, source: str, snapshot: bool, entries: Any) -> None:
+        update_endpoints(self, source, snapshot, [entry for entry in entries if entry.state != "terminating"])
 
-    setattr(engine.Core, "update_endpoints", list_news)  # noqa: B010 - a method is replaced on purpose
+    setattr(engine.Core, "update_endpoints", filtered_update)  # noqa: B010 - replaces a method on purpose
 
 
 def _without_pause() -> None:
-    """No pause after an attempt that timed out, broke or was cancelled."""
+    """No release pause after an attempt that timed out, lost its connection or was cancelled."""
     engine.RELEASE_AWAITED_OUTCOMES = ()  # type: ignore[assignment]
     trackhatch.controller.RELEASE_AWAITED_OUTCOMES = ()  # type: ignore[assignment]
 
 
 def _without_release() -> None:
-    """Calls on a server that is gone are left standing until discovery says so."""
+    """Calls on a lost server stay established until discovery reports its end."""
     setattr(EndpointMonitor, "detect_loss", lambda self, now: None)  # noqa: B010
 
 
 def _without_one_answer() -> None:
-    """A refusal is said twice."""
-    said = SipFrontend.respond
+    """A failure response is sent twice."""
+    respond = SipFrontend.respond
 
-    def answer(self: SipFrontend, request: Request, answer: FinalResponse) -> None:
+    def respond_twice(self: SipFrontend, request: Request, response: FinalResponse) -> None:
         dialog = self.dialogs.get(request.params.call_id)
-        said(self, request, answer)
-        if answer.result != ESTABLISHED and dialog is not None:
+        respond(self, request, response)
+        if response.result != ESTABLISHED and dialog is not None:
             self.dialogs[request.params.call_id] = dialog
-            said(self, request, answer)
+            respond(self, request, response)
 
-    setattr(SipFrontend, "respond", answer)  # noqa: B010
+    setattr(SipFrontend, "respond", respond_twice)  # noqa: B010
 
 
 def _without_shutdown() -> None:
-    """Requests are held for their own deadline, whenever the kill comes."""
+    """At a shutdown, pending requests keep their own deadlines, even if the process is killed before."""
     setattr(ShutdownPlan, "answer_deadline_ns", lambda self, deadline_ns: deadline_ns)  # noqa: B010
     setattr(engine.Core, "_answer_open_requests", lambda self: None)  # noqa: B010
 
 
-def _without_told() -> None:
-    """Discovery is not asked again after a call to it has failed."""
+def _without_reconnect() -> None:
+    """The event bus is not read again after a connection to it has failed."""
     setattr(BusClient, "_schedule_reconnect", lambda self: None)  # noqa: B010
 
 
-GUARDS: dict[str, Callable[[], None]] = {
+SAFEGUARDS: dict[str, Callable[[], None]] = {
     "drain": _without_drain, "pause": _without_pause, "release": _without_release,
-    "one_answer": _without_one_answer, "shutdown": _without_shutdown, "told": _without_told,
+    "one_answer": _without_one_answer, "shutdown": _without_shutdown, "told": _without_reconnect,
 }  # fmt: skip
 
 
 def main() -> int:
-    guard = sys.argv.pop(1)
-    GUARDS[guard]()
+    safeguard = sys.argv.pop(1)
+    SAFEGUARDS[safeguard]()
     return run_main.main()
 
 
