--- a/arrowrail/lab/soak/checks.py
+++ b/arrowrail/lab/soak/checks.py
@@ -151,7 +151,7 @@
 
 
 def check_drain(history: History) -> Iterator[Violation]:
-    """A server gets no set-up after the grace period that follows the news of its drain or removal."""
+    """A server gets no set-up later than the grace period after the list update of its drain or removal."""
     grace_ns = Deployment().drain_grace_ms * MS
     for change in history.changes:
         if change.state not in ("terminating", "terminated"):
@@ -180,7 +180,7 @@
 def check_slow_start(history: History) -> Iterator[Violation]:
     """A server that has just started gets no more set-ups in a window than the settings allow in slow start.
 
-    The limit includes an allowance for random arrivals, which grows with the square root of that number.
+    A tolerance for random arrivals, which grows with the square root of the allowed number, is added to it.
     """
     deployment = Deployment()
     hold_s = history.plan.classes[0].hold_ms / 1000
