--- a/arrowrail/core/engine.py
+++ b/arrowrail/core/engine.py
@@ -399,10 +399,10 @@
                 self.timers.schedule(
                     self.now + delay_ns, lambda: self.events.append(interface.TimerExpired(timer_id))
                 )
-            case interface.CancelSetUp(call_id, number):
+            case interface.CancelSetUp(call_id, attempt_number):
                 request = self.find(call_id)
                 attempt = request.current_attempt if request is not None and not request.established else None
-                if request is not None and attempt is not None and attempt.number == number:
+                if request is not None and attempt is not None and attempt.number == attempt_number:
                     self._cancel_attempt(request, attempt, "called_off")
             case interface.WatchExchangeList():
                 pass  # the list is watched from the start
@@ -416,11 +416,13 @@
             self.internal_errors += 1
             self.metrics.count("check.fired", violation)
             logger.error("set-up of call {} to endpoint {} not sent: {}", call_id, endpoint_id, violation)
-            number = request.attempts if request is not None else 0
+            attempt_number = request.attempts if request is not None else 0
             if request is not None:
                 request.attempts += 1
             self.events.append(
-                interface.AttemptEnded(call_id, endpoint_id, number, "not_sent", 0, request is None, 0, None)
+                interface.AttemptEnded(
+                    call_id, endpoint_id, attempt_number, "not_sent", 0, request is None, 0, None
+                )
             )
             return
         if self.admission is not None:
@@ -428,17 +430,17 @@
         attempt = Attempt(request.attempts, endpoint, self.now)
         request.attempts += 1
         request.current_attempt = attempt
-        until = request.params.deadline_ns
-        if timeout_ns and self.now + timeout_ns < until:
-            until = self.now + timeout_ns
+        attempt_deadline_ns = request.params.deadline_ns
+        if timeout_ns and self.now + timeout_ns < attempt_deadline_ns:
+            attempt_deadline_ns = self.now + timeout_ns
             handle = request.handle
             attempt.timeout_timer = self.timers.schedule(
-                until, lambda: self._attempt_timed_out(handle, attempt)
+                attempt_deadline_ns, lambda: self._attempt_timed_out(handle, attempt)
             )
         self.metrics.count("attempt.sent" if attempt.number == 0 else "attempt.retried")
         call_event("attempt.sent", call_id, "attempt {attempt} to {server}",
                    attempt=attempt.number, server=endpoint.entry.uid)  # fmt: skip
-        self._backend(endpoint).set_up(endpoint, request.params, until - self.now)
+        self._backend(endpoint).set_up(endpoint, request.params, attempt_deadline_ns - self.now)
 
     # --- Timeouts and the end of attempts and calls -----------------------------------------------------
 
@@ -453,7 +455,7 @@
             self._cancel_attempt(request, request.current_attempt, "no_answer")
 
     def _answer_overdue(self, handle: int) -> None:
-        """Enforce rule 1 if the decision module did not: a request is answered by its deadline."""
+        """Fail a request that the decision module has not answered by its deadline."""
         request = self.requests.get(handle)
         if request is None or request.established:
             return
--- a/arrowrail/group/instance.py
+++ b/arrowrail/group/instance.py
@@ -83,12 +83,13 @@
         self._needs_assignment = True
 
     def held_epoch(self, duty: str, now: int) -> int:
-        """The epoch under which the duty may run now; 0 if its lease is not held."""
+        """Return the epoch under which the duty may run now; 0 if its lease is not held."""
         return self.lease_manager.held_epoch(self.shards.get(duty, ""), now)
 
     # --- Time and messages ------------------------------------------------------------------------------
 
     def tick(self, now: int) -> Effects:
+        """Advance membership, leases and schedules; return what has to be stored, sent and run."""
         effects = Effects()
         effects.messages += [(address, "", message) for address, message in self.swim.tick(now)]
         self._assign(now, effects)
@@ -105,6 +106,7 @@
         return effects
 
     def receive(self, now: int, sender: str, message: Message) -> Effects:
+        """Process a message; one in the name of another member than its sender is ignored."""
         effects = Effects()
         if isinstance(message, ProbeResult):
             if message.holder == sender:
@@ -155,7 +157,7 @@
     # --- Runs -------------------------------------------------------------------------------------------
 
     def is_current(self, now: int, run: DutyRun) -> bool:
-        """Whether the lease still allows the run; to be checked again right before anything is sent."""
+        """Return whether the lease still allows the run; to be called again right before anything is sent."""
         return self.held_epoch(run.duty, now) == run.epoch
 
     def run_finished(self, now: int, run: DutyRun, passed: bool, latency_ns: int) -> Effects:
--- a/arrowrail/wire/m3ua/frontend.py
+++ b/arrowrail/wire/m3ua/frontend.py
@@ -21,7 +21,7 @@
 from arrowrail.wire.m3ua.messages import ProtocolData
 from arrowrail.wire.stream import Stream
 
-RELEASE_RETENTION_NS = 8_000 * MS  # how long a release waits for an association that can send it
+RELEASE_LIFETIME_NS = 8_000 * MS  # how long a release waits for an association that can send it
 MAX_CLIENTS = 64
 # Q.850 causes: unallocated number; service not implemented; interworking, unspecified.
 Q850_UNALLOCATED, Q850_NOT_IMPLEMENTED, Q850_INTERWORKING = 1, 79, 127
@@ -57,7 +57,7 @@
     def update_mappings(
         self, class_mappings: tuple[ClassMapping, ...], prefix_mappings: tuple[PrefixMapping, ...]
     ) -> None:
-        """Uses these mappings for new calls; existing calls keep theirs."""
+        """Use these mappings for new calls; existing calls keep theirs."""
         self.class_mappings = class_mappings
         # Longest prefix first, as the first match is used.
         self.prefix_mappings = sorted(prefix_mappings, key=lambda mapping: -len(mapping.prefix))
@@ -67,15 +67,15 @@
         self.listener = Listener(
             self.loop,
             self.address,
-            self._accepted,
+            self._on_accepted,
             lambda: len(self.associations) < MAX_CLIENTS,
             self._evict_idle,
         )
 
     def _evict_idle(self) -> bool:
-        """Closes an association without a handshake, so that silent peers do not take the place of clients.
+        """Close an association without a handshake, so that silent peers do not take the place of clients.
 
-        Returns whether there was one.
+        Return whether there was one.
         """
         down = [
             association
@@ -88,19 +88,19 @@
 
     # --- Associations -----------------------------------------------------------------------------------
 
-    def _accepted(self, sock: socket.socket) -> None:
+    def _on_accepted(self, sock: socket.socket) -> None:
         association = Association(self.loop, self.settings, self, False)
         association.handle = self.associations.add(association)
         association.stream = Stream(self.loop, sock, association)
         association.connected()
 
     def association_active(self, association: Association) -> None:
-        """Sends the releases that found no active association; any association may carry them."""
+        """Send the releases that found no active association; any association may carry them."""
         for circuit in list(self.circuits.values()):
             own_association = self.associations.get(circuit.association_handle)
             if circuit.clearing and (own_association is None or own_association.state != ACTIVE):
                 circuit.association_handle = association.handle
-                self._send_release(circuit, causes.NORMAL_CLEARING)
+                self._send_release(circuit, causes.Q850_NORMAL_CLEARING)
 
     def association_lost(self, association: Association, _error: OSError | None) -> None:
         self.associations.remove(association.handle)
@@ -111,7 +111,7 @@
                 and not circuit.clearing
             ):
                 self.core.caller_abandoned(circuit.call_id)
-                self._drop(circuit)
+                self._remove_circuit(circuit)
         if self.listener is not None:
             self.listener.resume()
 
@@ -127,9 +127,9 @@
             if circuit is not None:
                 if not circuit.clearing and not self.core.caller_released(circuit.call_id):
                     self.core.caller_abandoned(circuit.call_id)
-                self._drop(circuit)
+                self._remove_circuit(circuit)
         elif message.message_type == IsupMessageType.RLC and circuit is not None and circuit.clearing:
-            self._drop(circuit)
+            self._remove_circuit(circuit)
 
     def _handle_iam(
         self, association: Association, key: CircuitKey, previous: Circuit | None, message: IsupMessage
@@ -137,7 +137,7 @@
         if previous is not None and not previous.clearing:
             return  # a retransmission: the first IAM gets the one response
         if previous is not None:
-            self._drop(previous)  # the client reuses the circuit, so it has received the release
+            self._remove_circuit(previous)  # the client reuses the circuit, so it has received the release
         exchange = next(
             (
                 mapping.exchange
@@ -203,7 +203,7 @@
             self._send_release(circuit, cause)
 
     def release_unknown(self, call_id: str, cause: int) -> None:
-        """Does nothing: the circuit of a call from before a restart is not known."""
+        """Do nothing: the circuit of a call from before a restart is not known."""
 
     @property
     def connections(self) -> int:
@@ -221,7 +221,7 @@
         return self.circuits.get(key) if key is not None else None
 
     def _send_release(self, circuit: Circuit, cause: int, congestion: int = 0) -> None:
-        """Sends REL on the circuit's association, else on any active one, and repeats it each T1."""
+        """Send REL on the circuit's association, else on any active one, and repeat it each T1."""
         circuit.clearing, circuit.established = True, False
         association = self.associations.get(circuit.association_handle)
         if association is None or association.state != ACTIVE:
@@ -231,15 +231,15 @@
             association.send_isup(circuit.key[0], release)
         if circuit.t1_timer is not None:
             circuit.t1_timer.cancel()
-        delay_ns = T1_NS if association is not None else RELEASE_RETENTION_NS
+        delay_ns = T1_NS if association is not None else RELEASE_LIFETIME_NS
         callback = (
             (lambda: self._send_release(circuit, cause))
             if association is not None
-            else (lambda: self._drop(circuit))
+            else (lambda: self._remove_circuit(circuit))
         )
         circuit.t1_timer = self.loop.timers.schedule(self.loop.now + delay_ns, callback)
 
-    def _drop(self, circuit: Circuit) -> None:
+    def _remove_circuit(self, circuit: Circuit) -> None:
         if circuit.t1_timer is not None:
             circuit.t1_timer.cancel()
         if self.circuits.get(circuit.key) is circuit:
--- a/tests/test_live_etcd.py
+++ b/tests/test_live_etcd.py
@@ -45,7 +45,7 @@
         return head.split(b" ")[1], orjson.loads(body)
 
     def answer_range(self, revision: int, *targets: dict[str, Any]) -> int:
-        """Answers a range request and accepts its watch; returns the revision that the watch starts from."""
+        """Answer a range request and accept its watch; return the revision that the watch starts from."""
         path, request = self.read_request()
         assert path == b"/v3/kv/range" and base64.b64decode(request["key"]).decode() == PREFIX
         body = orjson.dumps(
@@ -91,9 +91,8 @@
         assert caller.receive_response(CALL_ID).status == 200
         gateway.send_put(8, listed_target | {"state": "terminating"})
         run.wait_until(lambda: not run.core.decision_module.in_service)
-        caller.invite(
-            "00000000000000b2"
-        )  # a drain listed in etcd has the same effect as one on the event bus
+        # A drain listed in etcd has the same effect as one on the event bus.
+        caller.invite("00000000000000b2")
         assert caller.receive_response("00000000000000b2").status == 503
         gateway.send_result({"header": {"revision": "9"}, "canceled": True, "compact_revision": "9"})
         gateway.accept()
--- a/trackhatch/controller.py
+++ b/trackhatch/controller.py
@@ -6,8 +6,8 @@
 Routes are scored as in Milito, Levy, Arian (ITC-13, 1991): worth x (1 - failure probability) - cost.  The
 route with the highest score is taken; the call is refused when no score is above zero.  Everything else in
 this module estimates the probability and the cost, or enforces the rules that hold whatever the score: every
-call gets its final answer in time, endpoints that drain get no new calls, repeated attempts stay within what
-the call class allows, endpoints in slow start are not overloaded, and the release time is waited for.
+call gets its final response in time, endpoints that drain get no new calls, repeated attempts stay within
+what the call class allows, endpoints in slow start are not overloaded, and the release time is waited for.
 """
 
 from __future__ import annotations
@@ -298,7 +298,7 @@
 
 
 class Call:
-    """A call that waits for its final answer, is established, or has an attempt under way."""
+    """A call that waits for its final response, is established, or has an attempt under way."""
 
     __slots__ = (
         "attempts", "call_class", "established", "executed_endpoint", "executed_ns", "first_try_ns",
@@ -654,7 +654,7 @@
             call.queued_endpoint = -1
 
     def reject(self, call: Call) -> None:
-        """Give the final answer: failed where a refusal would claim that no attempt was executed."""
+        """Send the final response: failed where a refusal would claim that no attempt was executed."""
         restricted = call.call_class.repeat == "single_shot" or call.call_class.repeat_scope != "all"
         if call.executed_endpoint >= 0 and call.call_class.repeat != "free" and restricted:
             self.actions.append(interface.FailCall(call.offer.call_id))
@@ -683,10 +683,14 @@
             event.latency_ns / SECOND_NS,
         )
         if endpoint is not None and sent_at is not None:
-            via = False
+            is_indirect = False
             if call is not None:
-                via = endpoint.entry.exchange != call.offer.destination
-                if via and self.settings.layout == "meshed" and call.offer.destination in self.in_service:
+                is_indirect = endpoint.entry.exchange != call.offer.destination
+                if (
+                    is_indirect
+                    and self.settings.layout == "meshed"
+                    and call.offer.destination in self.in_service
+                ):
                     last = self.in_service[call.offer.destination]
                     self.record_leg(endpoint.entry.exchange, call.offer.destination, 0.0)
                     self.record_transit_delay(endpoint, latency_s - last.expected_s(self.now))
@@ -695,7 +699,9 @@
                     self.busy_numbers[call.offer.number].add(self.now, 0.0)
             self.drop_overtaken(endpoint, sent_at)
             endpoint.failures.add(self.now, 0.0)
-            endpoint.record_answer(self.now, latency_s, via or self.after_pause or sent_at == self.resumed_ns)
+            endpoint.record_answer(
+                self.now, latency_s, is_indirect or self.after_pause or sent_at == self.resumed_ns
+            )
             endpoint.lost_answers.add(self.now, 0.0)
         if call is not None:
             call.established = True
@@ -706,9 +712,10 @@
         Guards against one lost or late answer counting as the wait at an endpoint that answers all others.
         Set-ups over a tandem are left out, as their answers take longer.
         """
-        for call_id, at in list(endpoint.pending.items()):
+        for call_id, other_sent_at in list(endpoint.pending.items()):
             call = self.calls.get(call_id)
-            if at > sent_at - int(endpoint.idle_set_up_s * SECOND_NS):  # sent too closely: may be reordered
+            if other_sent_at > sent_at - int(endpoint.idle_set_up_s * SECOND_NS):
+                # Sent so closely that they may be reordered on the way.
                 break
             if (
                 call is None
@@ -718,7 +725,7 @@
                 del endpoint.pending[call_id]
                 endpoint.lost_answers.add(self.now, 1.0)
                 if call is not None and self.settings.may_cancel and call.call_class.repeat == "free":
-                    delay = int(CANCEL_DELAY * call.call_class.aim_ns) - (self.now - at)
+                    delay = int(CANCEL_DELAY * call.call_class.aim_ns) - (self.now - other_sent_at)
                     self.actions.append(
                         interface.SetTimer(max(1, delay), f"{CANCEL_TIMER_PREFIX} {call.attempts} {call_id}")
                     )
@@ -779,7 +786,7 @@
         self, endpoint: EndpointEstimate, call: Call, event: interface.AttemptEnded, unanswered: bool
     ) -> None:
         """Attribute a failed attempt to the endpoint, the remote leg or the called number."""
-        via = endpoint.entry.exchange != call.offer.destination and self.settings.layout == "meshed"
+        via_tandem = endpoint.entry.exchange != call.offer.destination and self.settings.layout == "meshed"
         if event.cause == interface.CAUSE_CONNECTION_FAILED:
             return  # guards against avoiding healthy endpoints because of faults of their connections
         if event.cause == 1:  # no free circuit or agent, also where no group size is reported
@@ -795,7 +802,7 @@
             elif event.cause % 16 == 3:  # processor full; the higher bits carry its wait in milliseconds
                 endpoint.record_failure(self.now, 1.0, event.cause // 16 / 1000.0)
         elif unanswered and event.outcome in ("no_answer", "no_connection", "connection_lost"):
-            endpoint.record_failure(self.now, 0.5 if via else 1.0)
+            endpoint.record_failure(self.now, 0.5 if via_tandem else 1.0)
         elif event.outcome == "server_error" and event.cause == CAUSE_USER_BUSY:
             if call.offer.number not in self.busy_numbers and len(self.busy_numbers) >= MAX_NUMBERS:
                 del self.busy_numbers[next(iter(self.busy_numbers))]
@@ -832,7 +839,10 @@
     # --- Reports and the exchange list --------------------------------------------------------------------
 
     def read_report(self, endpoint: EndpointEstimate | None, report: interface.LoadReport | None) -> None:
-        """Take over the free circuits of the own trunk group and the metrics that the endpoint reports."""
+        """Take over the free circuits of the own trunk group and the metrics that the endpoint reports.
+
+        The circuits are exact at that time; the metrics only refine the estimates.
+        """
         if endpoint is None or report is None:
             return
         for name, value in report.metrics:
@@ -1006,7 +1016,7 @@
 
         Guards against overloading it.  Each controller keeps to its part of what the endpoint can take after
         its start.  That is estimated from the own circuits, which do not change in a flood of calls.  A part
-        below one set-up per window becomes one set-up per longer window, in turns by rank, so that the sum
+        below one set-up per window becomes one set-up per longer window, staggered by rank, so that the sum
         stays within the limit for any number of controllers.  Drawback: a small exchange refuses calls too
         early.
         """
@@ -1020,6 +1030,6 @@
         part = limit * 2 * SLOW_START_SAFETY / self.settings.controllers
         window = int(self.settings.fall_ns / max(min(part, 1.0), 0.01))
         endpoint.slow_start_sends = [t for t in endpoint.slow_start_sends if t > self.now - window]
-        turn = (window - self.settings.fall_ns) * self.settings.rank // self.settings.controllers
-        turn_starts_ns = endpoint.slow_start_until - self.settings.cold_ns + turn
-        return self.now >= turn_starts_ns and len(endpoint.slow_start_sends) < max(1, int(part))
+        rank_delay_ns = (window - self.settings.fall_ns) * self.settings.rank // self.settings.controllers
+        first_send_ns = endpoint.slow_start_until - self.settings.cold_ns + rank_delay_ns
+        return self.now >= first_send_ns and len(endpoint.slow_start_sends) < max(1, int(part))
