--- a/arrowrail/lab/soak/runner.py
+++ b/arrowrail/lab/soak/runner.py
@@ -1,4 +1,4 @@
-"""Runs the plan of a fault trial with real processes and records when it did what.
+"""Run the plan of a fault trial with real processes and record when it did what.
 
 As on the platform, each controller has its own callers and discovery service, and its own address, through
 the proxy, of every server.  The runner judges nothing: it only records events with their times.
--- a/tests/live.py
+++ b/tests/live.py
@@ -73,7 +73,7 @@
             self._pending += self._parse(data)
 
     def wait_for_close(self) -> bool:
-        """Reads until the controller closes the connection; ``TimeoutError`` if it stays open."""
+        """Read until the controller closes the connection; ``TimeoutError`` if it stays open."""
         try:
             self.receive(lambda m: False)
         except (EOFError, ConnectionResetError):
@@ -81,7 +81,7 @@
         return False
 
     def reset(self) -> None:
-        """Closes the connection with a TCP reset."""
+        """Close the connection with a TCP reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.sock.close()
 
@@ -100,7 +100,7 @@
         body: bytes = b"",
         replacement: tuple[str, str] = ("", ""),
     ) -> None:
-        """Sends a request; ``replacement`` is a text of its header and the text to send in its place."""
+        """Send a request; ``replacement`` is a text of its header and the text to send in its place."""
         lines = [f"{method} sip:00000000000000ab@net SIP/2.0", "Via: SIP/2.0/TCP peer", f"Call-ID: {call_id}"]
         lines += [f"CSeq: 1 {method}", *headers, f"Content-Length: {len(body)}", "", ""]
         self.sock.sendall("\r\n".join(lines).replace(*replacement).encode() + body)
@@ -139,7 +139,7 @@
         return self.sock.accept()[0]
 
     def close_unaccepted(self) -> None:
-        """Closes the connections that are not accepted yet, as happens when a process ends."""
+        """Close the connections that are not accepted yet, as happens when a process ends."""
         self.sock.setblocking(False)
         try:
             while True:
@@ -148,7 +148,7 @@
             self.sock.settimeout(TIMEOUT_S)
 
     def accept_binary(self, free: int = 10) -> Peer[binary.BinaryMessage]:
-        """Accepts the next connection of a binary backend and reports the state of the trunk group on it."""
+        """Accept the next connection of a binary backend and report the state of the trunk group on it."""
         peer: Peer[binary.BinaryMessage] = Peer(self.accept(), binary.BinaryParser().feed)
         send_binary(peer, binary.GROUP_STATE, "0" * 16, free=free, size=10)
         return peer
@@ -225,7 +225,7 @@
         self._wake_receiver.recv(64)
 
     def run_in_loop(self, function: Callable[[], Any]) -> Any:
-        """Calls a function in the loop's thread between two iterations, so that no state changes under it."""
+        """Call a function in the loop's thread between two iterations, so that no state changes under it."""
         result: queue.SimpleQueue[Any] = queue.SimpleQueue()
         self._submitted.put((function, result))
         self._wake_sender.send(b".")
@@ -280,7 +280,7 @@
         self.sock: socket.socket | None = None
 
     def accept(self) -> int:
-        """Accepts the next reader and returns the offset of the last event that it has."""
+        """Accept the next reader and return the offset of the last event that it has."""
         self.sock = self.listener.accept()
         self.sock.settimeout(TIMEOUT_S)
         head = b""
@@ -317,7 +317,7 @@
         return self.receive(lambda m: isinstance(m, Message) and m.message_type == message_type)
 
     def activate(self) -> M3uaPeer:
-        """Brings the association up as a client does."""
+        """Bring the association up as a client does."""
         self.send_message(MessageType.ASPUP)
         self.expect(MessageType.ASPUP_ACK)
         self.send_message(MessageType.ASPAC)
@@ -325,7 +325,7 @@
         return self
 
     def accept_activation(self) -> M3uaPeer:
-        """Answers the controller's activation of the association as a desk exchange does."""
+        """Answer the controller's activation of the association as a desk exchange does."""
         self.expect(MessageType.ASPUP)
         self.send_message(MessageType.ASPUP_ACK)
         self.expect(MessageType.ASPAC)
