--- a/arrowrail/config/convert.py
+++ b/arrowrail/config/convert.py
@@ -21,13 +21,13 @@
 
 
 def convert(file: Path, folder: Path, force: bool = False) -> tuple[list[Path], list[str]]:
-    """Write ``NAME.rail`` to the folder; returns the files written and the remaining diagnostics."""
+    """Write ``NAME.rail`` to the folder; return the files written and the remaining diagnostics."""
     operator, faults = read_operator_file(file)
     if operator is None:
         raise ConvertError(*(str(fault) for fault in faults))
     path = folder / (file.stem + SUFFIX)
     if path.exists() and not force:
-        raise ConvertError(f"{path} is there already; --force overwrites it")
+        raise ConvertError(f"{path} already exists; --force overwrites it")
     text = render(operator, file.name)
     folder.mkdir(parents=True, exist_ok=True)
     try:
--- a/arrowrail/lab/checks.py
+++ b/arrowrail/lab/checks.py
@@ -43,7 +43,7 @@
 def check_single_answer(
     report: CheckReport, name: str, events: Iterable[Event], app_killed_ns: int = 0
 ) -> dict[str, list[Event]]:
-    """Check that each call gets exactly one final response (event ``answer``); none is required on a lost connection.
+    """Check that each call gets exactly one final response; none is required on a lost connection.
 
     ``app_killed_ns``: the time at which the application was killed, since answers after it are not recorded.
     """
--- a/arrowrail/lab/modelcheck.py
+++ b/arrowrail/lab/modelcheck.py
@@ -329,7 +329,7 @@
         return self._with_claim(state, receiver, duty_index, replace(claim, not_before=0))
 
     def _restart(self, state: State, instance: int) -> State:
-        """Restart an instance: its leases are lost, its promises are read back if they are persistent."""
+        """Restart an instance without its leases; promises are read back, or lost without that safeguard."""
         restored: tuple[Promise, ...]
         if self.disabled.no_persistence:
             restored = (NO_PROMISE,) * len(self.duties)
@@ -347,6 +347,7 @@
         )
 
 
+# Clock rates by instance: all nominal, and two combinations with the extremes of the drift bound.
 RATES = ((NOMINAL, NOMINAL, NOMINAL), (SLOW, FAST, FAST), (FAST, SLOW, NOMINAL))
 
 
