--- a/arrowrail/lab/checks.py
+++ b/arrowrail/lab/checks.py
@@ -58,7 +58,7 @@
         elif event["what"] == "lost":
             lost_connections.add(event["line"])
         elif event["what"] == "unreadable":
-            report.violations.append(f"{name}: an unreadable answer: {event['why']}")
+            report.violations.append(f"{name}: an unreadable message: {event['why']}")
     for call_id, event in sent.items():
         answer_count = len(answers[call_id])
         report.expect(answer_count <= 1, f"{name}: call {call_id} got {answer_count} answers")
@@ -100,7 +100,8 @@
     pause_ns: int,
     exempt_calls: Iterable[str],
 ) -> None:
-    """Check the number of attempts, that they never overlap, and the pause after an abandoned or lost one.
+    """Check the number of attempts, that they never overlap, and the release pause after one that timed out,
+    lost its connection or was cancelled.
 
     ``exempt_calls``: calls of a sidecar that was killed; when their attempts end proves nothing.
     """
@@ -119,8 +120,8 @@
                 and after.started_ns - before.ended_ns < pause_ns - TOLERANCE_NS
             ):
                 report.violations.append(
-                    f"call {call_id}: only {(after.started_ns - before.ended_ns) // MS} ms after a set-up "
-                    "that was abandoned"
+                    f"call {call_id}: only {(after.started_ns - before.ended_ns) // MS} ms after an attempt "
+                    "that timed out, lost its connection or was cancelled"
                 )
 
 
@@ -174,4 +175,4 @@
                 and call_id not in byes
                 and event["t"] + limit_ns < end_ns
             ):
-                report.violations.append(f"{name}: call {call_id} ended and its caller was never told")
+                report.violations.append(f"{name}: call {call_id} ended and its caller got no release")
--- a/arrowrail/lab/soak/callers.py
+++ b/arrowrail/lab/soak/callers.py
@@ -8,7 +8,7 @@
 
 - ``{"do": "shutdown", "connect_s": A, "send_s": B}``: the controller got SIGTERM; no new connections after
   A s and no requests after B s, until it is ready again.
-- ``{"do": "killed"}``: the controller ended; close all connections and probe for its restart.
+- ``{"do": "killed"}``: the controller has ended; close all connections and probe for its restart.
 - ``{"do": "crowd", "calls": N}``: place N calls at once.
 - ``{"do": "rude", "how": NAME}``: connect as a misbehaving client of that kind.
 - ``{"do": "stop"}``: place no more calls.
@@ -172,13 +172,14 @@
         self.loop.timers.schedule(self.loop.now + PROBE_TIMEOUT_NS, self.probe)
 
     def probe_answered(self) -> None:
-        """Send calls to the controller from now on."""
+        """Mark the controller as ready, so that calls are sent to it from now on."""
         if not self.ready:
             self.ready, self.connect_until, self.send_until = True, 0, 0
             self.event_log.record("ready")
             self.open_long_connections()
 
-    def run_command(self, command: Any) -> None:
+    def execute(self, command: Any) -> None:
+        """Execute one command of standard input."""
         now = self.loop.now
         self.event_log.record("command", **command)
         if command["do"] == "shutdown":
@@ -408,24 +409,24 @@
     parser.add_argument("--early-share", type=float, default=0.05)
     parser.add_argument("--hang-up-share", type=float, default=0.3)
     parser.add_argument("--retry-share", type=float, default=0.2)
-    options = parser.parse_args()
-    loop, event_log = Loop(), EventLog(options.ledger)
+    arguments = parser.parse_args()
+    loop, event_log = Loop(), EventLog(arguments.ledger)
     behaviour = CallerBehaviour(
-        options.short_share, options.early_share, options.hang_up_share, options.retry_share
+        arguments.short_share, arguments.early_share, arguments.hang_up_share, arguments.retry_share
     )
     callers = Callers(
         loop,
-        options.to,
+        arguments.to,
         event_log,
-        random.Random(options.seed),
-        tuple(options.classes),
-        tuple(options.exchanges),
+        random.Random(arguments.seed),
+        tuple(arguments.classes),
+        tuple(arguments.exchanges),
         behaviour,
     )
     callers.probe()
     callers.sweep()
-    schedule_arrivals(callers, options.rate, options.seconds)
-    read_commands(loop, callers.run_command)
+    schedule_arrivals(callers, arguments.rate, arguments.seconds)
+    read_commands(loop, callers.execute)
     run_until_sigterm(loop, event_log)
 
 
--- a/arrowrail/lab/soak/checks.py
+++ b/arrowrail/lab/soak/checks.py
@@ -14,8 +14,8 @@
 from arrowrail.lab.platform import Deployment
 from arrowrail.lab.soak.history import MS, SECOND_NS, Attempt, Call, History, ListChange
 
-SLACK_NS = 50 * MS  # PROTOCOL: each time limit has a tolerance of 50 ms
-MAX_ANSWER_DELAY_NS = 500 * MS  # STANDING: an answer up to 0.5 s after the deadline is worthless but allowed
+TOLERANCE_NS = 50 * MS  # PROTOCOL: each time limit has a tolerance of 50 ms
+MAX_ANSWER_DELAY_NS = 500 * MS  # STANDING: an answer up to 0.5 s after the deadline is allowed, but worthless
 # A list update counts as received at the latest this long after discovery had it and was reachable.
 LIST_UPDATE_LIMIT_NS = 6_000 * MS
 RELEASE_FORWARD_NS = 1_000 * MS  # PROTOCOL: from the server's release to the release sent to the caller
@@ -32,7 +32,7 @@
 UNDISTURBED_NS = 2_000 * MS
 MAX_ATTEMPTS = 4  # as in the platform's settings
 RELEASE_AWAITED_OUTCOMES = ("given_up", "broken")
-CAUSE_TEMPORARY_FAILURE = 41  # of a set-up that was lost on its way, and of a call that was cut
+CAUSE_TEMPORARY_FAILURE = 41  # Q.850: of a set-up that was lost on its way, and of a call that was cut off
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,33 +49,29 @@
 
 
 def check_answers(history: History) -> Iterator[Violation]:
-    """Each request gets exactly one final answer, in time; a 200 carries the description that a server made
-    for this call."""
+    """Check that each request gets exactly one final response, in time, and that a 200 carries the session
+    description that a server made for this call."""
     for call in history.calls.values():
         if len(call.answers) > 1:
-            yield Violation(
-                "answer", call.answers[1]["t"], f"{len(call.answers)} final answers", call.call_id
-            )
+            yield Violation("answer", call.answers[1]["t"], f"got {len(call.answers)} answers", call.call_id)
         for answer in call.answers:
             if answer["status"] == 200 and not _is_made_for(answer["made_by"], call):
                 yield Violation(
                     "answer",
                     answer["t"],
-                    f"answered 200 with the description {answer['made_by']!r}",
+                    f"answered 200 with the description {answer['made_by']!r}, which is not of this call",
                     call.call_id,
                 )
         if not call.sent_ns or call.cancelled_ns:
             continue
         if call.answers:
             delay = call.answers[0]["t"] - call.deadline_ns
-            if delay > MAX_ANSWER_DELAY_NS + SLACK_NS:
+            if delay > MAX_ANSWER_DELAY_NS + TOLERANCE_NS:
                 yield Violation(
                     "answer", call.answers[0]["t"], f"answered {delay // MS} ms late", call.call_id
                 )
         elif not _is_excused(history, call):
-            reason = (
-                f"its connection was closed ({call.lost_reason})" if call.lost_ns else "no answer arrived"
-            )
+            reason = f"its connection was closed ({call.lost_reason})" if call.lost_ns else "got no answer"
             yield Violation("lost", call.lost_ns or call.deadline_ns, reason, call.call_id)
 
 
@@ -84,9 +80,9 @@
 
 
 def _is_excused(history: History, call: Call) -> bool:
-    """Whether a call needs no answer: its set-up and the close of its connection crossed, its controller was
-    killed without SIGTERM, or the trial ended before the time limit."""
-    limit = call.deadline_ns + MAX_ANSWER_DELAY_NS + SLACK_NS
+    """Return whether a call needs no final response: its set-up and the close of its connection crossed, its
+    controller was killed without SIGTERM, or the trial ended before the time limit."""
+    limit = call.deadline_ns + MAX_ANSWER_DELAY_NS + TOLERANCE_NS
     if call.crossed_close or limit > history.ended_ns:
         return True
     restart = history.find_outage(call.controller, call.sent_ns, limit)
@@ -94,32 +90,32 @@
 
 
 def check_messages(history: History) -> Iterator[Violation]:
-    """All messages from the controller to its callers can be parsed; each answer belongs to a request."""
+    """Check that all messages to callers can be parsed, and that each final response belongs to a request."""
     for event in history.unreadable:
-        yield Violation("readable", event["t"], f"unreadable: {event['why']}")
+        yield Violation("readable", event["t"], f"an unreadable message: {event['why']}")
     for event in history.unknown_answers:
-        yield Violation("readable", event["t"], "an answer to a request that was never sent", event["call"])
+        yield Violation("readable", event["t"], "an answer for a call that was never sent", event["call"])
 
 
 def check_attempts(history: History) -> Iterator[Violation]:
-    """At most four attempts, never two at once, and the release pause after one that timed out, lost its
-    connection or was cancelled."""
+    """Check that there are at most four attempts, that they never overlap, and the release pause after one
+    that timed out, lost its connection or was cancelled."""
     pause_ns = Deployment().release_pause_ms * MS
     for call in history.calls.values():
         if len(call.attempts) > MAX_ATTEMPTS:
             yield Violation(
-                "attempts", call.attempts[-1].sent_ns, f"{len(call.attempts)} attempts", call.call_id
+                "attempts", call.attempts[-1].sent_ns, f"had {len(call.attempts)} attempts", call.call_id
             )
         for previous, following in pairwise(call.attempts):
-            if not previous.ended_ns or previous.ended_ns > following.sent_ns + SLACK_NS:
-                message = f"two at once, at {previous.server} and {following.server}"
+            if not previous.ended_ns or previous.ended_ns > following.sent_ns + TOLERANCE_NS:
+                message = f"two attempts at once, at {previous.server} and {following.server}"
                 yield Violation("attempts", following.sent_ns, message, call.call_id)
-            elif _needs_pause(previous) and following.sent_ns - previous.ended_ns < pause_ns - SLACK_NS:
+            elif _needs_pause(previous) and following.sent_ns - previous.ended_ns < pause_ns - TOLERANCE_NS:
                 gap = (following.sent_ns - previous.ended_ns) // MS
                 yield Violation(
                     "pause",
                     following.sent_ns,
-                    f"{gap} ms after an attempt with the outcome {previous.outcome}",
+                    f"only {gap} ms after an attempt with the outcome {previous.outcome}",
                     call.call_id,
                 )
 
@@ -131,13 +127,13 @@
 
 
 def effective_ns(history: History, change: ListChange) -> int:
-    """When a list change counts as known to a controller: on receipt, at the latest at the limit."""
+    """Return when a list change counts as known to its controller: on receipt, at the latest at the limit."""
     limit = _discovery_reachable_ns(history, change) + LIST_UPDATE_LIMIT_NS
     return min(limit, change.received_ns) if change.received_ns else limit
 
 
 def _discovery_reachable_ns(history: History, change: ListChange) -> int:
-    """The first time, from the change on, at which a discovery address of the controller is reachable."""
+    """Return the first time, from the change on, at which one of the controller's discovery routes works."""
     reads = [(time_ns, route) for time_ns, route in history.discovery_reads[change.controller]]
     routes = {route for _, route in reads}
     earliest = 0
@@ -151,12 +147,13 @@
 
 
 def check_drain(history: History) -> Iterator[Violation]:
-    """A server gets no set-up later than the grace period after the list update of its drain or removal."""
+    """Check that no set-up reaches a server after the grace period following the list update of its drain or
+    removal."""
     grace_ns = Deployment().drain_grace_ms * MS
     for change in history.changes:
         if change.state not in ("terminating", "terminated"):
             continue
-        limit = effective_ns(history, change) + grace_ns + SLACK_NS
+        limit = effective_ns(history, change) + grace_ns + TOLERANCE_NS
         back_ns = _back_in_service_ns(history, change)
         for call in history.calls.values():
             if call.controller != change.controller:
@@ -164,7 +161,7 @@
             for attempt in call.attempts:
                 if attempt.server == change.server and limit < attempt.sent_ns < back_ns:
                     delay = (attempt.sent_ns - limit) // MS
-                    message = f"{change.server} was {change.state}: {delay} ms after the grace period"
+                    message = f"sent to {change.server} ({change.state}) {delay} ms after its grace period"
                     yield Violation("drain", attempt.sent_ns, message, call.call_id)
 
 
@@ -178,7 +175,7 @@
 
 
 def check_slow_start(history: History) -> Iterator[Violation]:
-    """A server that has just started gets no more set-ups in a window than the settings allow in slow start.
+    """Check that a server gets no more set-ups per window than the settings allow during its slow start.
 
     A tolerance for random arrivals, which grows with the square root of the allowed number, is added to it.
     """
@@ -204,7 +201,7 @@
 
 
 def check_releases(history: History) -> Iterator[Violation]:
-    """An established call that ends is released toward its caller in time."""
+    """Check that an established call that ends is released toward its caller in time."""
     for call in history.calls.values():
         end_ns = _end_ns(history, call)
         if not call.served_ns or call.cancelled_ns or not end_ns or end_ns < call.served_ns:
@@ -221,13 +218,13 @@
         bye_ns = next((time_ns for time_ns in call.bye_times), 0)
         if call.hung_up_ns and call.hung_up_ns < limit:
             continue
-        if limit + SLACK_NS < history.ended_ns and not (bye_ns and bye_ns <= limit + SLACK_NS):
+        if limit + TOLERANCE_NS < history.ended_ns and not (bye_ns and bye_ns <= limit + TOLERANCE_NS):
             detail = f"released {(bye_ns - end_ns) // MS} ms later" if bye_ns else "its caller got no release"
             yield Violation("release", limit, f"ended at {call.answered_by}: {detail}", call.call_id)
 
 
 def _was_unreachable(history: History, call: Call, start_ns: int, end_ns: int) -> bool:
-    """Whether the server of a call ended before the end of a span, or its route had a fault in the span."""
+    """Return whether the server of a call ended before the end of a span, or its route had a fault in it."""
     ended = any(
         time_ns < end_ns for time_ns in history.server_ends[call.answered_by] if time_ns > call.served_ns
     )
@@ -236,13 +233,14 @@
 
 
 def _end_ns(history: History, call: Call) -> int:
-    """When an established call ended: by its server's release or because its server ended."""
+    """Return when an established call ended, by its server's release or with its server; 0: it did not."""
     server_ends = [time_ns for time_ns in history.server_ends[call.answered_by] if time_ns > call.served_ns]
     return min([time_ns for time_ns in (call.server_ended_ns, *server_ends) if time_ns], default=0)
 
 
 def check_established_calls(history: History) -> Iterator[Violation]:
-    """An established call that has not ended is released only if its server was unreachable for long."""
+    """Check that an established call that has not ended is released only if its server was unreachable for
+    long or was removed from the list."""
     for call in history.calls.values():
         if not call.served_ns or not call.bye_times or call.hung_up_ns:
             continue
@@ -254,12 +252,12 @@
         ):
             continue
         yield Violation(
-            "cut", bye_ns, f"released, though it was established at {call.answered_by}", call.call_id
+            "cut", bye_ns, f"released while it was established at {call.answered_by}", call.call_id
         )
 
 
 def _was_removed(history: History, call: Call, time_ns: int) -> bool:
-    """Whether the server that got the set-up was removed; another process at its address gave the answer."""
+    """Return whether the server that got the set-up was removed; a new process at its address answered."""
     sent_to = call.attempts[-1].route.partition(".")[2] if call.attempts else ""
     return any(
         (change.controller, change.server, change.state) == (call.controller, sent_to, "terminated")
@@ -277,56 +275,62 @@
 
 
 def check_held_calls(history: History) -> Iterator[Violation]:
-    """A reachable server holds no call that is over for its caller."""
+    """Check that a reachable server holds no call that has ended for its caller."""
     for call_id, server in history.held_at_end.items():
         call = history.calls.get(call_id)
         if call is None:
             continue
-        over_ns = call.hung_up_ns or (call.bye_times[0] if call.bye_times else 0) or _set_up_ended_ns(call)
+        end_ns = call.hung_up_ns or (call.bye_times[0] if call.bye_times else 0) or _set_up_ended_ns(call)
         settle_start = history.ended_ns - SETTLE_NS
         route = f"{call.controller}.{server}"
         disturbed = any(
             span.overlaps(settle_start - SETTLE_NS, history.ended_ns) for span in history.faults[route]
         )
         restart = history.find_restart(call.controller, call.sent_ns, history.ended_ns)
-        if over_ns and over_ns < settle_start and not disturbed and restart is None:
-            yield Violation("standing", over_ns, f"still held by {server}", call.call_id)
+        if end_ns and end_ns < settle_start and not disturbed and restart is None:
+            yield Violation("standing", end_ns, f"still held by {server}", call.call_id)
 
 
 def _set_up_ended_ns(call: Call) -> int:
-    """When a set-up failed or its caller cancelled it; 0: neither."""
+    """Return when a set-up failed or its caller cancelled it; 0: neither."""
     if call.served_ns:
         return 0
     return call.answers[0]["t"] if call.answers else call.cancelled_ns
 
 
 def check_controllers(history: History) -> Iterator[Violation]:
-    """No controller crashes; it is ready in time after a restart and keeps to the limits of memory and
-    descriptors."""
+    """Check that no controller crashes, and that each is ready in time after a restart and keeps to the
+    limits of memory and descriptors."""
     for event in history.crashes:
         yield Violation("crash", event["t"], f"{event['controller']} exited with status {event['code']}")
     for controller, restarts in history.restarts.items():
         for restart in restarts:
             duration = (restart.ready_ns or history.ended_ns) - restart.killed_ns
-            if duration > READY_LIMIT_NS + SLACK_NS:
+            if duration > READY_LIMIT_NS + TOLERANCE_NS:
                 yield Violation(
                     "ready", restart.killed_ns, f"{controller} was not ready {duration // MS} ms later"
                 )
     for event in history.usage:
         if event["memory_mb"] > MEMORY_LIMIT_MB:
-            yield Violation("memory", event["t"], f"{event['controller']}: {event['memory_mb']:.0f} MB")
+            yield Violation("memory", event["t"], f"{event['controller']} used {event['memory_mb']:.0f} MB")
         if event["descriptors"] > history.plan.sockets:
-            yield Violation("descriptors", event["t"], f"{event['controller']}: {event['descriptors']}")
+            yield Violation(
+                "descriptors",
+                event["t"],
+                f"{event['controller']} had {event['descriptors']} descriptors open",
+            )
 
 
 def check_bad_clients(history: History) -> Iterator[Violation]:
-    """A client that sends no valid call gets an answer, an error or a close, and is never served."""
+    """Check that a client without a valid call gets an answer, an error or a close, and is never served."""
     for event in history.bad_clients:
         restart = history.find_restart(event["controller"], event["t"] - 4 * SECOND_NS, event["t"])
         if not event["answered"] and restart is None:
-            yield Violation("rude", event["t"], f"'{event['how']}' got neither an answer nor a close")
+            yield Violation(
+                "rude", event["t"], f"bad client '{event['how']}' got neither an answer nor a close"
+            )
     for event in history.bad_clients_served:
-        yield Violation("rude", event["t"], f"'{event['how']}' was served")
+        yield Violation("rude", event["t"], f"bad client '{event['how']}' was served")
 
 
 def _to_unix_ns(history: History, seconds: float) -> int:
@@ -334,7 +338,7 @@
 
 
 def undisturbed_calls(history: History) -> list[Call]:
-    """The calls without any fault, list change of their server or restart of their controller around them."""
+    """Return the calls without a fault, list change of their server or controller restart around them."""
     faults = [
         (fault.target, _to_unix_ns(history, fault.at_s), _to_unix_ns(history, fault.at_s + fault.seconds))
         for fault in history.plan.faults
@@ -360,7 +364,7 @@
 
 
 def check_served_share(history: History) -> Iterator[Violation]:
-    """At least the required share of the undisturbed calls is served."""
+    """Check that at least the required share of the undisturbed calls is served."""
     calls = undisturbed_calls(history)
     served = sum(1 for call in calls if call.served_ns)
     if len(calls) >= 20 and served < MIN_SERVED_SHARE * len(calls):
@@ -374,6 +378,6 @@
 
 
 def check_history(history: History) -> list[Violation]:
-    """All violations of a trial, ordered by time."""
+    """Return all violations of a trial, ordered by time."""
     violations = [violation for check in CHECKS for violation in check(history)]
     return sorted(violations, key=lambda violation: violation.at_ns)
--- a/arrowrail/lab/soak/history.py
+++ b/arrowrail/lab/soak/history.py
@@ -112,6 +112,7 @@
     ended_ns: int = 0
     calls: dict[str, Call] = field(default_factory=dict)
     faults: dict[str, list[Span]] = field(default_factory=lambda: defaultdict(list))  # by route
+    # By controller: times and routes at which it subscribed to its discovery service.
     discovery_reads: dict[str, list[tuple[int, str]]] = field(default_factory=lambda: defaultdict(list))
     server_ends: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
     server_starts: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
@@ -128,18 +129,18 @@
     max_stand_in_delay_ms: int = 0  # the longest delay of the event loop of a stand-in program
 
     def reachable(self, route: str, time_ns: int) -> bool:
-        """Whether no fault was injected on a route at that time."""
+        """Return whether no fault was injected on a route at that time."""
         return not any(span.covers(time_ns) for span in self.faults[route])
 
     def find_outage(self, controller: str, start_ns: int, end_ns: int) -> Restart | None:
-        """The restart whose time from the kill to readiness overlaps a span of time."""
+        """Return the restart whose time from the kill to readiness overlaps a span of time."""
         for restart in self.restarts[controller]:
             if restart.killed_ns < end_ns and (not restart.ready_ns or restart.ready_ns > start_ns):
                 return restart
         return None
 
     def find_restart(self, controller: str, start_ns: int, end_ns: int) -> Restart | None:
-        """The restart whose time from SIGTERM to readiness overlaps a span of time."""
+        """Return the restart whose time from SIGTERM to readiness overlaps a span of time."""
         for restart in self.restarts[controller]:
             if (restart.sigterm_ns or restart.killed_ns) < end_ns and (
                 not restart.ready_ns or restart.ready_ns > start_ns
@@ -168,7 +169,7 @@
 
 
 def _address_replacements(folder: Path) -> dict[str, list[tuple[int, str]]]:
-    """The servers that took over the address of another one: by route, the times and the new servers."""
+    """Return the servers that took over the address of another one, as times and new servers by route."""
     replacements: dict[str, list[tuple[int, str]]] = defaultdict(list)
     for event in read_events(folder / "player.jsonl"):
         if event["what"] == "address_taken":
@@ -192,7 +193,7 @@
             )
         case "controller_killed":
             restarts = history.restarts[event["controller"]]
-            if (
+            if (  # this kill ends the shutdown that the last SIGTERM began
                 restarts
                 and restarts[-1].sigterm_ns
                 and not restarts[-1].ready_ns
--- a/arrowrail/lab/soak/plan.py
+++ b/arrowrail/lab/soak/plan.py
@@ -52,7 +52,7 @@
 
     number: int
     kind: str
-    target: str  # name of a server or a controller, or "discovery" for that of all controllers
+    target: str  # name of a server or a controller, or "discovery": the services of all controllers
     at_s: float
     seconds: float
     detail: str = ""  # variant of the fault; empty: there is only one
@@ -78,14 +78,14 @@
     faults: tuple[Fault, ...]
 
     def without(self, numbers: set[int]) -> Plan:
-        """The same plan with some faults excluded."""
+        """Return the same plan with some faults excluded."""
         return replace(self, faults=tuple(f for f in self.faults if f.number not in numbers))
 
     def as_json(self) -> dict[str, Any]:
         return asdict(self)
 
     def summary_lines(self) -> list[str]:
-        """A readable summary: a line of sizes, one line per class and one per fault."""
+        """Return a readable summary: a line of sizes, one line per class and one per fault."""
         size_line = (
             f"seed {self.seed}: {self.controllers} controllers, {self.servers} servers of {self.circuits} "
             f"circuits, {self.rate:.0f} calls/s each, {self.sockets} descriptors, {self.seconds:g} s"
--- a/arrowrail/lab/soak/runner.py
+++ b/arrowrail/lab/soak/runner.py
@@ -1,7 +1,7 @@
 """Run the plan of a fault trial with real processes and record when it did what.
 
 As on the platform, each controller has its own callers and discovery service, and its own address, through
-the proxy, of every server.  The runner judges nothing: it only records events with their times.
+the proxy, of every server.  The runner checks nothing: it only records events with their times.
 """
 
 from __future__ import annotations
@@ -26,11 +26,12 @@
 LOOPBACK = "127.0.0.1"
 USAGE_INTERVAL_S = 0.5
 # The words in capitals (PROTOCOL, LATER) name the operators' document that sets a time.
-MAX_COUNTED_DEADLINE_S, AFTER_DEADLINE_S = 3.0, 0.7  # PROTOCOL: SIGTERM to SIGKILL
+# PROTOCOL: SIGKILL follows SIGTERM after the longest deadline (at most 3 s) plus 0.7 s.
+MAX_COUNTED_DEADLINE_S, AFTER_DEADLINE_S = 3.0, 0.7
 NEW_CONNECTIONS_S = 0.3  # PROTOCOL: callers open new connections for 0.2 to 0.4 s after SIGTERM
-LAST_SEND_S = 0.25  # before the kill; nobody could answer a later request
+LAST_SEND_S = 0.25  # before SIGKILL; the controller could not answer a later request
 RESTART_DELAY_S = 0.3
-OLD_DISCOVERY_CLOSE_S = 1.5  # LATER: the old discovery closes its connections this long after SIGHUP
+OLD_DISCOVERY_CLOSE_S = 1.5  # LATER: the old discovery service closes its connections this long after SIGHUP
 SILENCE_DETECTION_S = 4.0  # the shortest time in which discovery notices a silent server
 IN_SERVICE, TERMINATING, TERMINATED = "in_service", "terminating", "terminated"
 CONTROLLER_MODULE = ("arrowrail",)
@@ -42,7 +43,7 @@
 
     name: str
     port: int
-    rank: int
+    rank: int  # index among the controllers, as in its settings
     discovery_ports: dict[str, int]  # of the two routes to its discovery service, "a" and "b"
     bus_port: int
     active_route: str = "a"  # the route that its configuration names
@@ -52,7 +53,7 @@
 
 
 def successor(server: str) -> str:
-    """The name of the server that replaces another one."""
+    """Return the name of the server that replaces another one."""
     return f"{server}-r"
 
 
@@ -68,6 +69,7 @@
         self.plan, self.folder, self.program = plan, folder, program
         self.processes = ProcessManager(folder)
         self.event_log = EventLog(folder / "player.jsonl")
+        # A heap of the time in s, a sequence number and the action.
         self.actions: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self.start_time = 0.0
@@ -144,7 +146,7 @@
         self.record("server_started", server=name)
 
     def deployment(self, controller: RunningController) -> Deployment:
-        """The deployment that a configuration written now describes."""
+        """Return the deployment that a configuration written now describes."""
         listed = tuple(s for s in controller.servers.values() if s.state in (IN_SERVICE, TERMINATING))
         return Deployment(
             classes=self.plan.classes, controllers=self.plan.controllers, sockets=self.plan.sockets,
@@ -426,7 +428,7 @@
 
 
 def _usage(child: subprocess.Popen[bytes]) -> tuple[float, int]:
-    """Resident memory in MB and number of open descriptors; zeros for a process that has just ended."""
+    """Return the resident memory in MB and the number of open descriptors; zeros if the process has ended."""
     try:
         status = Path(f"/proc/{child.pid}/status").read_text()
         resident = next((line for line in status.splitlines() if line.startswith("VmRSS")), "VmRSS: 0 kB")
--- a/arrowrail/lab/soak/trace.py
+++ b/arrowrail/lab/soak/trace.py
@@ -12,11 +12,11 @@
 LOG_LINE = re.compile(r"^(\d{4}-\d\d-\d\d \d\d:\d\d:\d\d\.\d{3}) \| \w+ +\| \S+ - (.*)$")
 RUNNER_EVENTS = ("fault", "server_ended", "server_started", "controller_told_to_end", "controller_killed",
                  "controller_started", "listed")  # fmt: skip
-LEAD_TIME_NS = 3_000_000_000  # events of the runner are shown from this long before the call on
+LEAD_TIME_NS = 3_000_000_000  # how long before the first record of the call the runner's events are shown
 
 
 def trace_call(folder: Path, call_id: str) -> list[str]:
-    """The lines of all programs that name the call, with the events of the runner around them."""
+    """Return the events and log lines that name the call, and the runner's events around them."""
     lines = [*_event_log_lines(folder, call_id), *_controller_log_lines(folder, call_id)]
     if not lines:
         return [f"no program recorded call {call_id}"]
--- a/arrowrail/lab/soak/variants.py
+++ b/arrowrail/lab/soak/variants.py
@@ -21,7 +21,7 @@
 
 
 def _without_drain() -> None:
-    """The state ``terminating`` of a server in list updates is ignored."""
+    """Ignore entries with the state ``terminating`` in list updates."""
     update_endpoints = engine.Core.update_endpoints
 
     def filtered_update(self: engine.Core, source: str, snapshot: bool, entries: Any) -> None:
@@ -31,18 +31,18 @@
 
 
 def _without_pause() -> None:
-    """No release pause after an attempt that timed out, lost its connection or was cancelled."""
+    """Make no release pause after an attempt that timed out, lost its connection or was cancelled."""
     engine.RELEASE_AWAITED_OUTCOMES = ()  # type: ignore[assignment]
     trackhatch.controller.RELEASE_AWAITED_OUTCOMES = ()  # type: ignore[assignment]
 
 
 def _without_release() -> None:
-    """Calls on a lost server stay established until discovery reports its end."""
+    """Keep the calls of a lost server established until discovery reports its end."""
     setattr(EndpointMonitor, "detect_loss", lambda self, now: None)  # noqa: B010
 
 
 def _without_one_answer() -> None:
-    """A failure response is sent twice."""
+    """Send each failure response twice."""
     respond = SipFrontend.respond
 
     def respond_twice(self: SipFrontend, request: Request, response: FinalResponse) -> None:
@@ -56,13 +56,13 @@
 
 
 def _without_shutdown() -> None:
-    """At a shutdown, pending requests keep their own deadlines, even if the process is killed before."""
+    """Let pending requests keep their own deadlines at a shutdown, even if the process is killed before."""
     setattr(ShutdownPlan, "answer_deadline_ns", lambda self, deadline_ns: deadline_ns)  # noqa: B010
     setattr(engine.Core, "_answer_open_requests", lambda self: None)  # noqa: B010
 
 
 def _without_reconnect() -> None:
-    """The event bus is not read again after a connection to it has failed."""
+    """Do not reconnect to the event bus after a connection to it has failed."""
     setattr(BusClient, "_schedule_reconnect", lambda self: None)  # noqa: B010
 
 
--- a/tests/incidents/test_b85302.py
+++ b/tests/incidents/test_b85302.py
@@ -17,7 +17,7 @@
 
 
 def released_calls(caller: Caller, expected: set[str], start: float) -> dict[str, float]:
-    """The calls that are released toward the caller within the limit, with the seconds since ``start``."""
+    """Return the calls that are released toward the caller in time, each with the seconds since ``start``."""
     released: dict[str, float] = {}
     while expected - released.keys():
         remaining_s = start + RELEASE_TIMEOUT_S - time.monotonic()
--- a/tests/live.py
+++ b/tests/live.py
@@ -38,7 +38,7 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The platform's settings of a controller, with top-level keys replaced."""
+    """Return the platform's settings of a controller, with top-level keys replaced."""
     info = copy.deepcopy(INFO) | {"instances": 3}
     info["contract"]["drain-grace-ns"] = 500_000_000
     info["policy-limits"] |= {"may-cancel": True}
@@ -61,7 +61,7 @@
         self._pending: list[Any] = []
 
     def receive(self, matches: Callable[[MessageT], bool] = lambda m: True) -> MessageT:
-        """The next message that matches; messages before it are discarded."""
+        """Return the next message that matches; messages before it are discarded."""
         while True:
             while self._pending:
                 message: MessageT = self._pending.pop(0)
@@ -171,7 +171,7 @@
 def list_entry(
     uid: str, address: str, exchange: int, state: str = "in_service", **fields: Any
 ) -> dict[str, Any]:
-    """One entry of the list of exchanges, as the event bus sends it."""
+    """Return one entry of the list of exchanges, as the event bus sends it."""
     return {
         "uid": uid,
         "endpoint": address,
@@ -183,7 +183,7 @@
 
 
 def list_event(offset: int, *entries: dict[str, Any], snapshot: bool = False) -> dict[str, Any]:
-    """One event of the event bus: a complete list (``snapshot``) or the changed entries."""
+    """Return one event of the event bus: a complete list (``snapshot``) or the changed entries."""
     return {"offset": offset, "topology": {"rev": offset, "all": snapshot, "targets": list(entries)}}
 
 
@@ -249,7 +249,7 @@
     settings_json: dict[str, Any] | None = None, internal_errors: int = 0,
     connections_per_exchange: int = 1,
 ) -> Iterator[RunningController]:  # fmt: skip
-    """A controller whose configuration lists these desk exchanges; at its end the core must have counted
+    """Run a controller whose configuration lists these desk exchanges; at its end the core must have counted
     exactly ``internal_errors`` violated invariants.
     """
     known = (event_from_json(list_event(1, *entries, snapshot=True)),)
@@ -280,7 +280,7 @@
         self.sock: socket.socket | None = None
 
     def accept(self) -> int:
-        """Accept the next reader and return the offset of the last event that it has."""
+        """Accept the next reader, and return the offset of the last event that it has received."""
         self.sock = self.listener.accept()
         self.sock.settimeout(TIMEOUT_S)
         head = b""
@@ -348,7 +348,7 @@
 
 
 def operator_records(**tables: Any) -> Controller:
-    """The records of an operator's file from plain tables; ``deadline_ms`` and ``heartbeat_ms`` are in ms."""
+    """Build the operator's records from plain tables; ``deadline_ms`` and ``heartbeat_ms`` are in ms."""
     m3ua_table = dict(tables.get("m3ua", {}))
     if "heartbeat_ms" in m3ua_table:
         m3ua_table["heartbeat"] = m3ua_table.pop("heartbeat_ms") * 1_000_000
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -54,5 +54,5 @@
     assert (
         len(report.violations) == 2
         and "800 ms after" in report.violations[0]
-        and "never told" in report.violations[1]
+        and "its caller got no release" in report.violations[1]
     )
