--- a/arrowrail/lab/soak/callers.py
+++ b/arrowrail/lab/soak/callers.py
@@ -146,8 +146,8 @@
     behaviour: CallerBehaviour
     connections: list[CallerConnection] = field(default_factory=list)
     ready: bool = False  # the controller has answered a probe since its start
-    connect_until: int = 0  # 0: no limit
-    send_until: int = 0  # 0: no limit
+    connect_until_ns: int = 0  # 0: no limit
+    send_until_ns: int = 0  # 0: no limit
     established: dict[str, bool] = field(default_factory=dict)
     _last_number: int = 0
     _probe: CallerConnection | None = None
@@ -174,7 +174,7 @@
     def probe_answered(self) -> None:
         """Mark the controller as ready, so that calls are sent to it from now on."""
         if not self.ready:
-            self.ready, self.connect_until, self.send_until = True, 0, 0
+            self.ready, self.connect_until_ns, self.send_until_ns = True, 0, 0
             self.event_log.record("ready")
             self.open_long_connections()
 
@@ -183,8 +183,8 @@
         now = self.loop.now
         self.event_log.record("command", **command)
         if command["do"] == "shutdown":
-            self.connect_until = now + int(command["connect_s"] * SECOND_NS)
-            self.send_until = now + int(command["send_s"] * SECOND_NS)
+            self.connect_until_ns = now + int(command["connect_s"] * SECOND_NS)
+            self.send_until_ns = now + int(command["send_s"] * SECOND_NS)
         elif command["do"] == "killed":
             self.ready = False
             for connection in self.connections:
@@ -197,15 +197,15 @@
         elif command["do"] == "rude":
             BadClient(self, command["how"])
         elif command["do"] == "stop":
-            self.send_until = self.connect_until = now
+            self.send_until_ns = self.connect_until_ns = now
 
     @property
     def may_connect(self) -> bool:
-        return self.ready and (not self.connect_until or self.loop.now < self.connect_until)
+        return self.ready and (not self.connect_until_ns or self.loop.now < self.connect_until_ns)
 
     @property
     def may_send(self) -> bool:
-        return self.ready and (not self.send_until or self.loop.now < self.send_until)
+        return self.ready and (not self.send_until_ns or self.loop.now < self.send_until_ns)
 
     def open_long_connections(self) -> None:
         long_connections = [
@@ -279,8 +279,8 @@
         )
         connection.place(call_id, (head + body).encode())
         if early:
-            wait = int(call_class.patience_ms * EARLY_CANCEL_SHARE) * MS
-            self.loop.timers.schedule(self.loop.now + wait, lambda: self._cancel(call_id))
+            wait_ns = int(call_class.patience_ms * EARLY_CANCEL_SHARE) * MS
+            self.loop.timers.schedule(self.loop.now + wait_ns, lambda: self._cancel(call_id))
 
     def _connection_of(self, call_id: str) -> CallerConnection | None:
         return next((connection for connection in self.connections if call_id in connection.pending), None)
@@ -315,8 +315,8 @@
         if message.status == 200:
             self.established[call_id] = True
             if self.random.random() < self.behaviour.hang_up_share:
-                wait = int(self.random.uniform(0.5, 3.0) * SECOND_NS)
-                self.loop.timers.schedule(self.loop.now + wait, lambda: self._hang_up(call_id))
+                wait_ns = int(self.random.uniform(0.5, 3.0) * SECOND_NS)
+                self.loop.timers.schedule(self.loop.now + wait_ns, lambda: self._hang_up(call_id))
         elif message.status in (480, 503) and self.random.random() < self.behaviour.retry_share:
             self.place_call(retry=True)
         if connection.short and not connection.pending:
--- a/arrowrail/lab/soak/checks.py
+++ b/arrowrail/lab/soak/checks.py
@@ -281,13 +281,13 @@
         if call is None:
             continue
         end_ns = call.hung_up_ns or (call.bye_times[0] if call.bye_times else 0) or _set_up_ended_ns(call)
-        settle_start = history.ended_ns - SETTLE_NS
+        settle_start_ns = history.ended_ns - SETTLE_NS
         route = f"{call.controller}.{server}"
         disturbed = any(
-            span.overlaps(settle_start - SETTLE_NS, history.ended_ns) for span in history.faults[route]
+            span.overlaps(settle_start_ns - SETTLE_NS, history.ended_ns) for span in history.faults[route]
         )
         restart = history.find_restart(call.controller, call.sent_ns, history.ended_ns)
-        if end_ns and end_ns < settle_start and not disturbed and restart is None:
+        if end_ns and end_ns < settle_start_ns and not disturbed and restart is None:
             yield Violation("standing", end_ns, f"still held by {server}", call.call_id)
 
 
--- a/arrowrail/lab/soak/history.py
+++ b/arrowrail/lab/soak/history.py
@@ -112,11 +112,11 @@
     ended_ns: int = 0
     calls: dict[str, Call] = field(default_factory=dict)
     faults: dict[str, list[Span]] = field(default_factory=lambda: defaultdict(list))  # by route
-    # By controller: times and routes at which it subscribed to its discovery service.
+    # By controller: the time and the route of each request to its discovery service.
     discovery_reads: dict[str, list[tuple[int, str]]] = field(default_factory=lambda: defaultdict(list))
-    server_ends: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
-    server_starts: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
-    restarts: dict[str, list[Restart]] = field(default_factory=lambda: defaultdict(list))
+    server_ends: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))  # by server
+    server_starts: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))  # by server
+    restarts: dict[str, list[Restart]] = field(default_factory=lambda: defaultdict(list))  # by controller
     changes: list[ListChange] = field(default_factory=list)
     set_ups: dict[str, list[tuple[int, str]]] = field(default_factory=lambda: defaultdict(list))  # by server
     crashes: list[Event] = field(default_factory=list)
