--- a/arrowrail/lab/drills/__init__.py
+++ b/arrowrail/lab/drills/__init__.py
@@ -1,4 +1,4 @@
-"""Drills by name: each plays the hard cases of one part with real processes, and judges what was seen."""
+"""Drills by name: each runs fault scenarios of one component with real processes, and checks the results."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 from importlib import import_module
 from typing import Any
 
-NAMES = {
+DRILLS = {
     "sidecar": "three sidecars, their applications and exchanges: surge, drain, reload, kills",
-    "soak": "short, dense fault trials of controllers, one a seed, judged by all rules",
-    "duties": "instances that share the probing of exchanges: kill, hang, split, a key rolled",
+    "soak": "short trials of controllers with many faults, one per seed, checked against all rules",
+    "duties": "instances that share the probing of exchanges: kill, hang, partition, key rotation",
 }
 
 
 @dataclass(slots=True)
-class Outcome:
-    """A drill's result; it has passed where nothing is broken."""
+class DrillResult:
+    """Result of a drill; it has passed if there are no violations."""
 
     name: str
     seed: int
-    broken: list[str]
-    figures: dict[str, Any] = field(default_factory=dict)
+    violations: list[str]
+    metrics: dict[str, Any] = field(default_factory=dict)
 
     @property
     def passed(self) -> bool:
-        return not self.broken
+        return not self.violations
 
     def as_json(self) -> dict[str, Any]:
         return {
-            "drill": self.name, "seed": self.seed, "passed": self.passed, "broken": self.broken[:50],
-            "breaches": len(self.broken), "figures": self.figures,
+            "drill": self.name, "seed": self.seed, "passed": self.passed, "broken": self.violations[:50],
+            "breaches": len(self.violations), "figures": self.metrics,
         }  # fmt: skip
 
 
-Play = Callable[..., Outcome]
+DrillFunction = Callable[..., DrillResult]
 
 
-def load(name: str) -> Play:
-    """``KeyError`` for a name that is none."""
-    if name not in NAMES:
+def load_drill(name: str) -> DrillFunction:
+    """Import a drill by its name; ``KeyError`` for an unknown one."""
+    if name not in DRILLS:
         raise KeyError(name)
-    play: Play = import_module(f"arrowrail.lab.drills.{name}").play
-    return play
+    run_drill: DrillFunction = import_module(f"arrowrail.lab.drills.{name}").run_drill
+    return run_drill
--- a/arrowrail/lab/platform.py
+++ b/arrowrail/lab/platform.py
@@ -1,6 +1,6 @@
-"""The platform's side of a controller's start, as the operators' pages give it: settings, list, file.
+"""Configuration files of controllers, as the platform writes them: settings, server list, addresses.
 
-Used by tests and drills that start the program as a process of its own.
+Used by tests and drills that start the controller as a separate process.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallClassPlan:
-    """One class of call in the settings; times in ms."""
+class CallClassConfig:
+    """One call class of the settings; times in ms."""
 
     name: str
     deadline_ms: int = 3000
@@ -30,17 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One line of the list of servers."""
+    """One entry of the server list."""
 
     uid: str
     address: str  # host:port
-    exchange: int  # the number that calls name as their destination
+    exchange: int  # the number that calls give as their destination
     zone: str = "east"
     state: str = IN_SERVICE
-    started_ms: int = 0  # Unix time of a late start; 0: long ago
+    started_ms: int = 0  # Unix time of the start, if it is recent; 0: long ago
 
-    def line(self) -> dict[str, Any]:
-        """As it stands in an event of discovery."""
+    def to_entry(self) -> dict[str, Any]:
+        """The entry as discovery events contain it."""
         return {
             "uid": self.uid, "endpoint": self.address, "az": self.zone, "model": "std",
             "pod_group": self.exchange, "state": self.state, "capacity_hint": 1, "boot_ms": self.started_ms,
@@ -49,12 +49,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What the settings of all controllers of a deployment share; times in ms."""
+    """Settings that all controllers of a deployment share; times in ms."""
 
-    classes: tuple[CallClassPlan, ...] = (CallClassPlan("voice"),)
+    classes: tuple[CallClassConfig, ...] = (CallClassConfig("voice"),)
     controllers: int = 1
     drain_grace_ms: int = 500
-    pause_ms: int = 300
+    release_pause_ms: int = 300
     cold_ms: int = 8000
     fall_ms: int = 3000
     fall_multiple: float = 4.0
@@ -65,11 +65,11 @@
     servers: tuple[Server, ...] = field(default=())
 
     @property
-    def longest_deadline_ms(self) -> int:
+    def max_deadline_ms(self) -> int:
         return max(c.deadline_ms for c in self.classes)
 
     def settings(self, rank: int = 0) -> dict[str, Any]:
-        """The object that the pages call 'the settings', for one controller."""
+        """The ``settings`` object of one controller's configuration file."""
         return {
             "classes": [
                 {"name": c.name, "worth": c.worth, "late-share": 0.25, "objective-ns": c.aim_ms * MS,
@@ -87,7 +87,7 @@
             "discovery": "push",
             "family-info": {
                 "class-hold-ns": [c.hold_ms * MS for c in self.classes], "layout": "meshed",
-                "pools-by-class": [], "release-ns": self.pause_ms * MS, "resend-ns": 400 * MS,
+                "pools-by-class": [], "release-ns": self.release_pause_ms * MS, "resend-ns": 400 * MS,
                 "self-no": 0, "widths": [1 for _ in self.classes],
             },
             "instances": self.controllers,
@@ -102,27 +102,27 @@
         }  # fmt: skip
 
 
-def discovery_event(offset: int, servers: list[Server], whole: bool) -> dict[str, Any]:
-    """One numbered event of discovery."""
-    lines = [server.line() for server in servers]
-    return {"offset": offset, "topology": {"rev": offset, "all": whole, "targets": lines}}
+def discovery_event(offset: int, servers: list[Server], snapshot: bool) -> dict[str, Any]:
+    """One numbered discovery event: a snapshot of the server list, or the entries that changed."""
+    entries = [server.to_entry() for server in servers]
+    return {"offset": offset, "topology": {"rev": offset, "all": snapshot, "targets": entries}}
 
 
-def configuration(
+def controller_config(
     deployment: Deployment, name: str, listen: str, discovery: str, rank: int = 0, offset: int = 1
 ) -> dict[str, Any]:
-    """The configuration file of one controller; ``known`` holds the whole list as event ``offset``."""
-    known = discovery_event(offset, list(deployment.servers), True)
+    """The configuration of one controller; ``known`` holds a snapshot of the list as event ``offset``."""
+    initial_event = discovery_event(offset, list(deployment.servers), True)
     return {
         "name": name, "listen": listen, "seed": f"{rank + 1:016x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": deployment.sockets},
-        "bus": discovery, "known": {"offset": offset, "batch": [known]},
+        "bus": discovery, "known": {"offset": offset, "batch": [initial_event]},
         "settings": deployment.settings(rank),
     }  # fmt: skip
 
 
-def write_configuration(path: Path, value: dict[str, Any]) -> dict[str, str]:
-    """Put the file in place whole; returns the environment of the program that is to read it."""
+def write_config(path: Path, value: dict[str, Any]) -> dict[str, str]:
+    """Replace the file atomically; returns the environment variables of the controller that reads it."""
     temporary = path.with_suffix(".new")
     temporary.write_bytes(orjson.dumps(value))
     os.replace(temporary, path)
--- a/arrowrail/lab/simgroup.py
+++ b/arrowrail/lab/simgroup.py
@@ -1,7 +1,8 @@
-"""A group's decisions in simulated time, at sizes that no machine here could run as processes.
+"""Simulated groups, at sizes that would not fit on one machine as processes; used by the benchmark.
 
-Used by the benchmark: messages and bytes an instance a second, how soon a death is found and its duties
-are held again, false suspicions, duties moved.  Voters are a fixed few; the others do everything else too.
+Measures messages and bytes per instance and second, the time until a failure is detected and its duties are
+held again, false suspicions, and duties moved.  A fixed few instances are voters, which take part in
+everything else as well.
 """
 
 from __future__ import annotations
@@ -23,6 +24,8 @@
 
 
 class SimGroup:
+    """A group of instances on a simulated network."""
+
     def __init__(self, size: int, duties: int, seed: int, period_ns: int) -> None:
         self.network, self.seed, self.period_ns = SimNetwork(seed), seed, period_ns
         self.names = [f"i{n}" for n in range(size)]
@@ -30,7 +33,7 @@
         self.shards = {shard_of(duty) for duty in self.duties}
         self.stored_promises: dict[str, dict[str, Promise]] = {}
         self.instances: dict[str, Instance] = {}
-        self.death_heard_at: dict[str, int] = {}  # by who heard it: when
+        self.death_detected_at: dict[str, int] = {}  # by instance: when it first listed a member as dead
         self.suspicions = 0
         for name in self.names:
             self.start(name)
@@ -54,7 +57,7 @@
         for change in instance.swim.changes:
             self.suspicions += change.state == SUSPECT
             if change.state == DEAD:
-                self.death_heard_at.setdefault(name, self.network.now)
+                self.death_detected_at.setdefault(name, self.network.now)
         self.apply_effects(name, instance.tick(self.network.clock(name)))
         self.network.schedule(self.network.now + TICK_NS, lambda: self.tick(name, instance))
 
@@ -64,7 +67,7 @@
     def apply_effects(self, name: str, effects: Effects) -> None:
         self.stored_promises[name] |= effects.promises
         for address, receiver, message in effects.messages:
-            # Every 16th is encoded for its size: enough for a mean, and quick.
+            # Every 16th message is encoded for its size: enough for the mean, and fast.
             count = self.network.messages_sent.get(name, 0)
             size = 16 * len(encode(KEYS, 1, ("g", name, receiver, 1, 1), message)) if count % 16 == 0 else 0
             self.network.send(name, address, message, size)
@@ -84,8 +87,8 @@
         )
 
 
-def traffic(size: int, duties: int, seconds: float, seed: int = 1) -> dict[str, Any]:
-    """A calm group, then a death: rates an instance, and how soon it is known and made good."""
+def measure_group(size: int, duties: int, seconds: float, seed: int = 1) -> dict[str, Any]:
+    """Measure a steady group, then one instance's failure: message rates, detection and takeover times."""
     group = SimGroup(size, duties, seed, 10 * S)
     group.run(20 + size / 10)
     group.network.messages_sent.clear()
@@ -98,28 +101,29 @@
     size_bytes = [n / elapsed_s for n in group.network.bytes_sent.values()]
     voters = [group.network.messages_sent.get(n, 0) / elapsed_s for n in group.names[:VOTERS]]
     false_suspicions, held_leases = group.suspicions, group.held_leases()
-    group.death_heard_at.clear()
+    group.death_detected_at.clear()
     victim, died_at = group.names[-1], group.network.now
     group.crash(victim)
     while group.network.now - died_at < 60 * S and (
-        not group.death_heard_at or group.held_leases() < len(group.shards)
+        not group.death_detected_at or group.held_leases() < len(group.shards)
     ):
         group.run(0.5)
-    detection_s = sorted((t - died_at) / S for t in group.death_heard_at.values())
+    detection_s = sorted((t - died_at) / S for t in group.death_detected_at.values())
     return {
         "instances": size, "duties": duties, "leases held": held_leases,
         "messages an instance a s, mean": round(statistics.mean(messages), 1),
         "bytes an instance a s, mean": round(statistics.mean(size_bytes)),
         "messages of a voter a s, mean": round(statistics.mean(voters), 1),
         "false suspicions": false_suspicions,
-        "death known to all but it after s, p50": detection_s[len(detection_s) // 2] if detection_s else None,
+        "death known to all but it after s, p50":
+            detection_s[len(detection_s) // 2] if detection_s else None,
         "max": detection_s[-1] if detection_s else None,
         "all duties held again after s": round((group.network.now - died_at) / S, 1),
     }  # fmt: skip
 
 
-def movement(size: int, duties: int = 10_000) -> dict[str, Any]:
-    """Duties that one death moves, against those that were its own."""
+def measure_reassignment(size: int, duties: int = 10_000) -> dict[str, Any]:
+    """Count the duties that one failure moves, compared with the failed instance's own."""
     names = [f"i{n}" for n in range(size)]
     duty_names = [f"probe:{n}" for n in range(duties)]
     before = assign(duty_names, names)
--- a/arrowrail/lab/soak/plan.py
+++ b/arrowrail/lab/soak/plan.py
@@ -10,9 +10,9 @@
 from dataclasses import asdict, dataclass, replace
 from typing import Any
 
-from arrowrail.lab.platform import CallClassPlan
+from arrowrail.lab.platform import CallClassConfig
 
-SECONDS = 16.0  # of faults and traffic, where nothing else is asked for
+DEFAULT_DURATION_S = 16.0  # of faults and traffic, where nothing else is asked for
 SHORTEST_SECONDS = 8.0
 TAIL_S = 9.0  # after the last fault: the longest limit of the pages is 8 s, and calls end in it
 FIRST_FAULT_S = 1.5
@@ -65,7 +65,7 @@
     servers: int
     circuits: int
     set_up_ms: float
-    classes: tuple[CallClassPlan, ...]
+    classes: tuple[CallClassConfig, ...]
     sockets: int
     rate: float
     short_share: float
@@ -81,7 +81,7 @@
     def as_json(self) -> dict[str, Any]:
         return asdict(self)
 
-    def lines(self) -> list[str]:
+    def summary_lines(self) -> list[str]:
         """For people: one line of sizes, one a class, one a fault."""
         sizes = (
             f"seed {self.seed}: {self.controllers} controllers, {self.servers} servers of {self.circuits} "
@@ -103,14 +103,16 @@
     return [f"n{n}" for n in range(count)]
 
 
-def draw(seed: int, seconds: float = SECONDS) -> Plan:
+def generate_plan(seed: int, seconds: float = DEFAULT_DURATION_S) -> Plan:
     """The plan of a seed."""
     source = random.Random(seed)
     controllers, servers = source.choice((1, 1, 2)), source.randint(2, 4)
     deadline_ms = source.choice((700, 1150, 2000, 3000, 9000, 9000))
     classes = (
-        CallClassPlan("status-report", deadline_ms, max(300, deadline_ms // 3), source.choice((1500, 4000))),
-        CallClassPlan(
+        CallClassConfig(
+            "status-report", deadline_ms, max(300, deadline_ms // 3), source.choice((1500, 4000))
+        ),
+        CallClassConfig(
             "alarm-video", deadline_ms, max(400, deadline_ms // 3), source.choice((9000, 30_000)), 4.0
         ),
     )
--- a/arrowrail/lab/unlimited.py
+++ b/arrowrail/lab/unlimited.py
@@ -1,4 +1,4 @@
-"""A sidecar that lets everything in: what the benchmark compares the limits with, on sockets."""
+"""A sidecar without limits, which the benchmark compares with one that has them."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from arrowrail.sidecar.main import Sidecar
 
 
-class NoLimits(Limiter):
-    """Lets everything in and counts nothing."""
+class UnlimitedLimiter(Limiter):
+    """Admits every set-up and counts nothing."""
 
     def admit(self, now: int, class_name: str, connection: object) -> AdmissionResult:
         return ADMITTED_RESULT
 
-    def setup_ended(self, now: int, class_name: str, connection: object, duration_ns: int) -> None:
+    def set_up_ended(self, now: int, class_name: str, connection: object, duration_ns: int) -> None:
         pass
 
 
@@ -27,7 +27,7 @@
     if result.value is None:
         raise RuntimeError(result.faults)
     sidecar = Sidecar(result.value, folder, 1)
-    sidecar.admission.limiter = NoLimits(result.value.limits, 0)
+    sidecar.admission.limiter = UnlimitedLimiter(result.value.limits, 0)
     sidecar.run()
 
 
--- a/arrowrail/limits/config.py
+++ b/arrowrail/limits/config.py
@@ -11,7 +11,7 @@
 from fractions import Fraction
 
 SECOND_NS = 1_000_000_000
-SETUP_COST = SECOND_NS  # one set-up in bucket units, so that a rate per second times ns is exact
+SET_UP_COST = SECOND_NS  # one set-up in bucket units, so that a rate per second times ns is exact
 NANOS_PER_UNIT = 1_000_000_000  # a rate is stored as set-ups per 1e9 seconds
 
 
@@ -29,7 +29,7 @@
 class LimitsConfig:
     """The limits of one application."""
 
-    max_open: int  # concurrent set-ups without a final answer, all classes
+    max_open: int  # concurrent set-ups without a final response, all classes
     rate: int  # set-ups per 1e9 s, all classes
     burst_ns: int  # set-ups of this much time may arrive at once
     connection_share: Fraction  # of max_open, for one connection while the others hold none
@@ -37,8 +37,8 @@
     max_retry_after_ns: int  # upper bound of the delay sent to a refused caller; 0: none is sent
 
     def bucket_depth(self, rate: int) -> int:
-        """Returns the capacity of a bucket in tokens: one burst, and at least one set-up."""
-        return max(SETUP_COST, rate * self.burst_ns // NANOS_PER_UNIT)
+        """Return the capacity of a bucket in tokens: one burst, and at least one set-up."""
+        return max(SET_UP_COST, rate * self.burst_ns // NANOS_PER_UNIT)
 
 
 def build_limits(
@@ -50,7 +50,7 @@
     shares: Mapping[str, tuple[Fraction, Fraction]],
     max_retry_after_ns: int,
 ) -> LimitsConfig:
-    """Builds the limits from configured values: ``worths`` by class, ``shares`` (open, rate) where stated.
+    """Build the limits from configured values: ``worths`` by class, ``shares`` (open, rate) where stated.
 
     The configuration check ensures that stated shares add up to at most 1; larger sums are scaled down
     proportionally, so that the reserved capacity never exceeds the total.
--- a/arrowrail/wire/bad_input.py
+++ b/arrowrail/wire/bad_input.py
@@ -23,7 +23,9 @@
         self._timer: Timer | None = None
 
     def update(self, pending: bool, completed: bool) -> None:
-        """Called after each read, with whether a message is incomplete and whether one was completed."""
+        """Start or cancel the timeout; to be called after each read.
+
+        ``pending``: a message is incomplete; ``completed``: at least one was completed by this read."""
         if self._timer is not None and (completed or not pending):
             self.cancel()
         if pending and self._timer is None:
@@ -38,15 +40,15 @@
 class RateLimitedWarning:
     """Counts bad input and logs one warning per ``LOG_INTERVAL_NS``, with the count since the last one."""
 
-    __slots__ = ("_loop", "_next_log_ns", "total", "unlogged")
+    __slots__ = ("_loop", "_next_log_ns", "total", "unreported")
 
     def __init__(self, loop: Loop) -> None:
         self._loop, self._next_log_ns = loop, 0
-        self.total = self.unlogged = 0
+        self.total = self.unreported = 0  # unreported: counted since the last warning
 
     def record(self, text: str) -> None:
         self.total += 1
-        self.unlogged += 1
+        self.unreported += 1
         if self._loop.now >= self._next_log_ns:
-            logger.warning("{} ({} such events since the last warning)", text, self.unlogged)
-            self._next_log_ns, self.unlogged = self._loop.now + LOG_INTERVAL_NS, 0
+            logger.warning("{} ({} such events since the last warning)", text, self.unreported)
+            self._next_log_ns, self.unreported = self._loop.now + LOG_INTERVAL_NS, 0
--- a/arrowrail/wire/sip/frontend.py
+++ b/arrowrail/wire/sip/frontend.py
@@ -31,7 +31,7 @@
 # A caller has to get a response or a close within 3 s; this is the time it has to complete a message,
 # including its first one.
 MESSAGE_TIMEOUT_NS = 2_000 * MS
-# Callers close connections after 4 s without calls: one that is idle for longer is kept open on purpose.
+# Callers close connections after 4 s without calls: one that is idle for longer is held by its peer.
 EVICTABLE_IDLE_NS = 5_000 * MS
 FIRST_MESSAGE_GRACE_NS = 250 * MS  # a new connection without input is evicted only after this time
 SWEEP_INTERVAL_NS = 1_000 * MS
@@ -80,9 +80,9 @@
 
     def received(self, data: bytes) -> None:
         self.idle_since = self.frontend.loop.now
-        found = self.parser.feed(data)
-        self.message_timeout.update(self.parser.pending, bool(found))
-        for message in found:
+        messages = self.parser.feed(data)
+        self.message_timeout.update(self.parser.pending, bool(messages))
+        for message in messages:
             if isinstance(message, sip.Malformed):
                 self.frontend.handle_malformed(self, message)
             else:
@@ -147,8 +147,9 @@
         )
 
     def _evict_idle(self) -> bool:
-        """Closes one connection: a closing one first, then one without input, then one idle for long.
+        """Close one connection without pending calls to make room; return false if there is none.
 
+        Closing connections go first, then those without a request, then those that are idle for long.
         Guards against discarding a set-up unread: a new connection gets time to send its first message, and
         one with unread input is not closed.
         """
@@ -170,7 +171,7 @@
         return False
 
     def close_gracefully(self, caller: CallerConnection) -> None:
-        """Rejects the pending calls of a connection with unusable input, and closes it."""
+        """Reject the pending calls of a connection with unusable input, and close it."""
         for call_id in list(caller.pending_calls):
             self._reject_pending(call_id, caller, 503)
         self.connection_closed(caller)
@@ -181,7 +182,7 @@
             self.listener.resume()
 
     def _reject_pending(self, call_id: str, caller: CallerConnection, status: int) -> None:
-        """Ends a pending set-up after unusable input from its caller, with its one final response."""
+        """End a pending set-up after unusable input from its caller, with its one final response."""
         dialog = self.dialogs[call_id]
         self.core.caller_abandoned(call_id)
         self._send_final_response(call_id, caller, sip.response(status, dialog.invite))
@@ -202,6 +203,7 @@
         self.loop.timers.schedule(now + SWEEP_INTERVAL_NS, self._sweep)
 
     def connection_closed(self, caller: CallerConnection) -> None:
+        """Remove a connection and abandon its pending calls; releases on it may be sent again."""
         if self.callers.remove(caller.handle) is None:
             return
         caller.message_timeout.cancel()
@@ -337,7 +339,7 @@
         self._send_bye(call_id, "sip:peer@net", cause, None)
 
     def _send_bye(self, call_id: str, uri: str, cause: int, caller: CallerConnection | None) -> None:
-        """Sends a BYE; an established call is not bound to a connection, so any open one will do."""
+        """Send a BYE; an established call is not bound to a connection, so any open one will do."""
         data = sip.request("BYE", uri, self.address, call_id, 1, (("Reason", f"Q.850;cause={cause}"),))
         self.releases.send(call_id, data, caller)
 
@@ -366,7 +368,7 @@
 def _parse_integer(text: str, low: int, high: int) -> int:
     # Plain digits only: int() also accepts spaces and digits of other scripts, which other systems don't.
     if not INTEGER.fullmatch(text) or not low <= int(text) <= high:
-        raise ValueError(f"number {text[:20]!r}")
+        raise ValueError(f"invalid or out-of-range number {text[:20]!r}")
     return int(text)
 
 
