--- a/arrowrail/limits/buckets.py
+++ b/arrowrail/limits/buckets.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from arrowrail.limits.config import NANOS_PER_UNIT, SETUP_COST, LimitsConfig
+from arrowrail.limits.config import NANOS_PER_UNIT, SET_UP_COST, LimitsConfig
 
 
 @dataclass(slots=True)
@@ -19,7 +19,7 @@
     tokens: int
 
     def refill(self, elapsed_ns: int) -> int:
-        """Adds the tokens for the elapsed time; returns the overflow."""
+        """Add the tokens for the elapsed time; return the overflow."""
         tokens = self.tokens + self.rate * elapsed_ns // NANOS_PER_UNIT
         overflow = max(0, tokens - self.depth)
         self.tokens = tokens - overflow
@@ -36,7 +36,7 @@
         self.update_config(config)
 
     def update_config(self, config: LimitsConfig) -> None:
-        """Applies new limits: buckets keep their tokens up to the new depth; that of a new class is full."""
+        """Apply new limits: buckets keep their tokens up to the new depth; that of a new class is full."""
         previous_buckets, previous_shared = self.class_buckets, self.shared
         self.config = config
         self.class_buckets = {}
@@ -62,32 +62,32 @@
         self.shared.tokens = min(self.shared.depth, self.shared.tokens + overflow)
 
     def reserved_for_higher_ranks(self, rank: int) -> int:
-        """Returns the shared tokens that a class of this rank has to leave to classes of higher worth."""
+        """Return the shared tokens that a class of this rank has to leave to classes of higher worth."""
         lowest_rank = max((c.rank for c in self.config.classes.values()), default=0)
         return self.shared.depth * rank // (2 * (lowest_rank + 1)) if lowest_rank else 0
 
     def try_acquire(self, class_name: str, surplus_only: bool = False) -> bool:
-        """Takes the tokens for one set-up, from the class's own bucket first; false if there are too few.
+        """Take the tokens for one set-up, from the class's own bucket first; false if there are too few.
 
         With ``surplus_only`` a quarter of each bucket is left to others.
         """
         own, shared = self.class_buckets[class_name], self.shared
-        if own.tokens - SETUP_COST >= (own.depth // 4 if surplus_only else 0):
-            own.tokens -= SETUP_COST
+        if own.tokens - SET_UP_COST >= (own.depth // 4 if surplus_only else 0):
+            own.tokens -= SET_UP_COST
             return True
-        borrowed = SETUP_COST if surplus_only else SETUP_COST - own.tokens
+        borrowed = SET_UP_COST if surplus_only else SET_UP_COST - own.tokens
         reserved = self.reserved_for_higher_ranks(self.config.classes[class_name].rank) + (
             shared.depth // 4 if surplus_only else 0
         )
         if shared.tokens - borrowed < reserved:
             return False
         shared.tokens -= borrowed
-        own.tokens -= SETUP_COST - borrowed
+        own.tokens -= SET_UP_COST - borrowed
         return True
 
-    def time_to_setup_ns(self, class_name: str) -> int:
-        """Returns the time until the class's own rate provides the tokens for one set-up."""
+    def time_to_set_up_ns(self, class_name: str) -> int:
+        """Return the time until the class's own rate provides the tokens for one set-up."""
         own = self.class_buckets[class_name]
         return (
-            max(0, SETUP_COST - own.tokens) * NANOS_PER_UNIT // (own.rate or max(1, self.config.rate // 20))
+            max(0, SET_UP_COST - own.tokens) * NANOS_PER_UNIT // (own.rate or max(1, self.config.rate // 20))
         )
--- a/arrowrail/wire/m3ua/causes.py
+++ b/arrowrail/wire/m3ua/causes.py
@@ -11,7 +11,7 @@
 
 from arrowrail.core.requests import FAILED, NO_ROUTE, OVER_LIMIT, FinalResponse, ReleaseOutcome
 
-NORMAL_CLEARING = 16
+Q850_NORMAL_CLEARING = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
 
 
 def release_cause(response: FinalResponse) -> int:
-    """Returns the Q.850 cause of the release that a refused or failed call ends with."""
+    """Return the Q.850 cause of the release that a refused or failed call ends with."""
     cause = response.cause % 16 if response.cause != 18 else 18  # the part above 16 is a retry delay
     causes = FAILED_CAUSES if response.result == FAILED else REFUSED_CAUSES
     for key in ((response.outcome, cause), (response.outcome, None)):
@@ -71,10 +71,10 @@
 
 
 def release_outcome(cause: int) -> ReleaseOutcome:
-    """Returns the outcome of a release by an exchange, before and after its answer."""
+    """Return the outcome of a release by an exchange, before and after its answer."""
     mapping = MAPPING_BY_CAUSE.get(cause, UNSPECIFIED)
     return ReleaseOutcome(
         mapping.outcome,
         mapping.cause,
-        "served" if cause in (NORMAL_CLEARING, UNSPECIFIED.q850) else "connection_lost",
+        "served" if cause in (Q850_NORMAL_CLEARING, UNSPECIFIED.q850) else "connection_lost",
     )
