--- a/arrowrail/lab/application.py
+++ b/arrowrail/lab/application.py
@@ -25,7 +25,7 @@
 
 
 class Connection:
-    """One connection of the application; it is reopened when it is lost."""
+    """One connection of the application, which is reopened when it is lost."""
 
     def __init__(self, app: StandInApplication, number: int) -> None:
         self.app, self.number = app, number
@@ -76,12 +76,12 @@
     def __init__(
         self, loop: Loop, address: str, event_log: EventLog, seed: int, connection_count: int, rate: float,
         seconds: float, classes: dict[str, float], numbers: list[str], patience_ms: int,
-        surge: tuple[float, float, float], narrow: bool = False,
+        surge: tuple[float, float, float], single_connection: bool = False,
     ) -> None:  # fmt: skip
         self.loop, self.address, self.event_log = loop, address, event_log
         self.random = random.Random(seed)
         self.classes, self.numbers, self.patience_ms = classes, numbers, patience_ms
-        self.narrow = narrow  # calls of the surge use one connection only
+        self.single_connection = single_connection  # calls of the surge use one connection only
         self.connections = [Connection(self, number) for number in range(connection_count)]
         self.started_ns, self.stopped = loop.now, False
         factor, surge_start_s, surge_s = surge
@@ -103,21 +103,21 @@
     def _place_call(self, surging: bool) -> None:
         if self.stopped:
             return
-        call = f"{self.random.getrandbits(64):016x}"
+        call_id = f"{self.random.getrandbits(64):016x}"
         class_name = self.random.choices(list(self.classes), list(self.classes.values()))[0]
         number = self.random.choice(self.numbers) + f"{self.random.randrange(1000):03d}"
         usable = [connection for connection in self.connections if connection.is_up]
         if not usable:
-            self.event_log.record("no_line", call=call, kind=class_name)
+            self.event_log.record("no_line", call=call_id, kind=class_name)
             return
-        connection = usable[0] if surging and self.narrow else self.random.choice(usable)
+        connection = usable[0] if surging and self.single_connection else self.random.choice(usable)
         head = (
-            f"INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP app\r\nCall-ID: {call}\r\n"
+            f"INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP app\r\nCall-ID: {call_id}\r\n"
             f"CSeq: 1 INVITE\r\nSubject: {class_name}\r\nX-Patience: {self.patience_ms}\r\n"
             f"Content-Length: {len(SESSION_DESCRIPTION)}\r\n\r\n"
         )
         assert connection.stream is not None
-        self.event_log.record("sent", call=call, kind=class_name, line=connection.name, surging=surging)
+        self.event_log.record("sent", call=call_id, kind=class_name, line=connection.name, surging=surging)
         connection.stream.send(head.encode() + SESSION_DESCRIPTION)
 
     def answered(self, connection: Connection, message: sip.SipMessage) -> None:
--- a/arrowrail/lab/modelcheck.py
+++ b/arrowrail/lab/modelcheck.py
@@ -196,7 +196,7 @@
         epochs: dict[tuple[int, int], int] = {}
         for duty, epoch, instance in state.held_epochs:
             if epochs.setdefault((duty, epoch), instance) != instance:
-                return f"epoch {epoch} of {self.duties[duty]} was held by two"
+                return f"epoch {epoch} of {self.duties[duty]} was held by two instances"
         return ""
 
     # --- Steps ------------------------------------------------------------------------------------------
--- a/arrowrail/lab/simgroup.py
+++ b/arrowrail/lab/simgroup.py
@@ -1,8 +1,8 @@
-"""Simulated groups, at sizes that would not fit on one machine as processes; used by the benchmark.
+"""Groups in simulated time, at sizes that would not fit on one machine as processes; for the benchmark.
 
 Measures messages and bytes per instance and second, the time until a failure is detected and its duties are
-held again, false suspicions, and duties moved.  A fixed few instances are voters, which take part in
-everything else as well.
+held again, false suspicions, and duties moved.  The first ``VOTERS`` instances vote on leases, and take part
+in everything else as well.
 """
 
 from __future__ import annotations
--- a/arrowrail/lab/simnet.py
+++ b/arrowrail/lab/simnet.py
@@ -1,4 +1,4 @@
-"""Simulated network and clocks for testing decision code: one true time, and a drifting clock per node.
+"""Simulated network and clocks for testing code without I/O: one true time, and a drifting clock per node.
 
 Messages are delayed, duplicated, reordered or lost as drawn from the seed and the faults in force.  Nothing
 sleeps: a simulated hour takes as long as its events.
@@ -30,8 +30,8 @@
 
     def true_until(self, true_time: int, local_time: int) -> int:
         """Return the earliest true time at which this clock reads at least ``local_time``."""
-        left = max(0, local_time - self.read(true_time))
-        return true_time + left * MILLION // (MILLION + self.drift_ppm) + 1
+        remaining = max(0, local_time - self.read(true_time))
+        return true_time + remaining * MILLION // (MILLION + self.drift_ppm) + 1
 
 
 @dataclass(slots=True)
